--- a/packages/mastvalve-bench/src/planning/planning-bench.ts
+++ b/packages/mastvalve-bench/src/planning/planning-bench.ts
@@ -8,7 +8,7 @@
 
 import {configureEngines} from 'mastvalve-fakes/fleet';
 import {FleetCommandKind, FleetMachine, type EngineModel} from 'mastvalve-fleet';
-import {EngineDirector, OrderOutcome, type EnginePort} from 'mastvalve-fleet-control';
+import {EngineScheduler, OrderOutcome, type EnginePort} from 'mastvalve-fleet-control';
 import {createRandom, pickBelow, type Random} from 'mastvalve-utils';
 import type {BenchTable} from '../log/log-bench.js';
 import {quantile} from '../statistics.js';
@@ -64,18 +64,18 @@
 };
 
 const createPort = (machine: FleetMachine): EnginePort => ({
-	sendOrder: async () => OrderOutcome.Taken,
+	sendOrder: async () => OrderOutcome.Accepted,
 	readStatus: async id => ({
 		holds: machine.find(id)?.holds ?? [], orderCount: 0, isBusy: false, inMemory: [], onDisk: [], loadingAdapters: [],
 	}),
 });
 
-const hearDemand = (director: EngineDirector, {entries, models}: FleetSize, random: Random): void => {
+const hearDemand = (director: EngineScheduler, {entries, models}: FleetSize, random: Random): void => {
 	const wanted = Array.from({length: Math.ceil(models * wantedShare)}, () => `model-${pickBelow(random, models)}`);
 	Array.from({length: entries}).forEach((_, index) => {
 		const asked = Array.from({length: 6}, () => drawModel(random, models));
 		const requests = Object.fromEntries(asked.map(model => [`${model}/a1`, 1]));
-		director.hear({
+		director.recordReport({
 			entry: `entry-${index}`, requests, urgent: Object.fromEntries(asked.map(model => [model, 1])), headMs: {}, suspects: [], absent: [], leaving: [],
 			wanted: wanted.filter(() => random() < 0.2).map(model => ({
 				service: 'llm', model, adapter: 'a2', waiting: 1, remainingMs: 60_000,
@@ -100,7 +100,7 @@
 	const machine = createMachine(size, random);
 	let now = 0;
 	let moves = 0;
-	const director = new EngineDirector({
+	const director = new EngineScheduler({
 		machine,
 		clock: {now: () => now, wall: () => now},
 		// Nothing that an order has begun ends while the rounds are measured.
--- a/packages/mastvalve-fleet-control/__tests__/__fixtures__/desk-series.ts
+++ b/packages/mastvalve-fleet-control/__tests__/__fixtures__/desk-series.ts
@@ -6,7 +6,7 @@
 import {
 	EngineLedger, WeightSource, type AdapterName, type EngineOrder, type EngineSpec, type EngineState, type HeldModel,
 } from 'mastvalve-fleet';
-import {EngineDesk} from '../../src/engines/engine-desk.js';
+import {EngineController} from '../../src/engines/engine-controller.js';
 import {VirtualTime} from '../../../../features/support/virtual-time.js';
 import {Answering, StandInEngine} from './stand-in-engine.js';
 
@@ -19,8 +19,8 @@
 };
 
 /** A desk of a holder at a stand-in engine. */
-export const createDesk = (time: VirtualTime, engine: StandInEngine, holder: string, isHolder: () => boolean = () => true, ledger = new EngineLedger()): EngineDesk =>
-	new EngineDesk({
+export const createDesk = (time: VirtualTime, engine: StandInEngine, holder: string, isHolder: () => boolean = () => true, ledger = new EngineLedger()): EngineController =>
+	new EngineController({
 		id: 'e', port: engine.port, clock: time.clock, wait: time.wait, holder,
 		// The holder named "one" is the first.
 		soleHolderSince: holder === 'one' ? Number.NEGATIVE_INFINITY : time.clock.now(),
@@ -41,7 +41,7 @@
 export const mayMove = ({isReady, loading, retiring}: EngineState): boolean => isReady && loading === undefined && retiring === undefined;
 
 /** Loads a model if the desk takes orders; the oldest model gives way when there is no place. */
-export const tryMove = (desk: EngineDesk, engine: StandInEngine, places: number, model: string): void => {
+export const tryMove = (desk: EngineController, engine: StandInEngine, places: number, model: string): void => {
 	const state = desk.describe(engine.endpoint);
 	if (!mayMove(state) || state.holds.some(({name}) => name === model)) {
 		return;
@@ -87,7 +87,7 @@
 };
 
 /** Loads an adapter if the desk takes orders; the first one gives way when no slot is free, unless the planner overlooks that. */
-const tryAdapter = (desk: EngineDesk, engine: StandInEngine, adapter: string, isCareless: boolean): void => {
+const tryAdapter = (desk: EngineController, engine: StandInEngine, adapter: string, isCareless: boolean): void => {
 	const state = desk.describe(engine.endpoint);
 	const held = state.holds.flatMap(({name, adapters}) => adapters.map(each => ({model: name, adapter: each})));
 	const isThere = held.some(each => each.adapter === adapter) || state.loadingAdapters.some(name => name.endsWith(`/${adapter}`));
@@ -122,7 +122,7 @@
 	const engine = new StandInEngine(time, 3, ['m1', 'm2']);
 	let holder = 0;
 	let mayOrder = true;
-	const createNext = (own: number): EngineDesk => createDesk(time, engine, `holder-${own}`, () => mayOrder && holder === own, createLedger());
+	const createNext = (own: number): EngineController => createDesk(time, engine, `holder-${own}`, () => mayOrder && holder === own, createLedger());
 	let desk = createNext(0);
 	await series.reduce<Promise<void>>(async (before, step) => {
 		await before;
--- a/packages/mastvalve-fleet-control/__tests__/__fixtures__/stand-in-engine.ts
+++ b/packages/mastvalve-fleet-control/__tests__/__fixtures__/stand-in-engine.ts
@@ -152,7 +152,7 @@
 			this.holds = this.holds.filter(({name}) => name !== order.model);
 		}
 
-		return OrderOutcome.Taken;
+		return OrderOutcome.Accepted;
 	}
 
 	private executeAdapter(kind: EngineOrderKind, model: string, adapter: string): OrderOutcome {
@@ -167,11 +167,11 @@
 				this.setAdapters(model, adapters => adapters.filter(held => held !== adapter));
 			}
 
-			return isUsed ? OrderOutcome.Taken : OrderOutcome.InForce;
+			return isUsed ? OrderOutcome.Accepted : OrderOutcome.InForce;
 		}
 
 		this.setAdapters(model, adapters => [...adapters, adapter]);
-		return OrderOutcome.Taken;
+		return OrderOutcome.Accepted;
 	}
 
 	private setAdapters(model: string, change: (adapters: string[]) => string[]): void {
--- a/packages/mastvalve-fleet-control/__tests__/crash-history.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/crash-history.steps.ts
@@ -9,7 +9,7 @@
 import {
 	CrashHistory, crashLimit, quarantineMs, type FeedCursor,
 } from 'mastvalve-fleet';
-import {QuarantineClock} from '../src/quarantine-clock.js';
+import {QuarantineExpiry} from '../src/quarantine-expiry.js';
 
 type HistoryWorld = World & {history: CrashHistory; revision: number};
 
@@ -77,7 +77,7 @@
 });
 
 When('its time is over by the leader\'s clock', function (this: HistoryWorld) {
-	const clock = new QuarantineClock();
+	const clock = new QuarantineExpiry();
 	assert.deepEqual(clock.listExpired(this.history.listQuarantined(), 0), []);
 	assert.deepEqual(clock.listExpired(this.history.listQuarantined(), quarantineMs), []);
 	this.history.release(clock.listExpired(this.history.listQuarantined(), quarantineMs + 1), this.revision);
--- a/packages/mastvalve-fleet-control/__tests__/engine-desk.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/engine-desk.steps.ts
@@ -8,7 +8,7 @@
 } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import {EngineOrderKind, WeightSource} from 'mastvalve-fleet';
-import type {EngineDesk} from '../src/engines/engine-desk.js';
+import type {EngineController} from '../src/engines/engine-controller.js';
 import {OrderOutcome, type SentOrder} from '../src/engines/engine-port.js';
 import {OrderSequence} from '../src/engines/order-sequence.js';
 import {VirtualTime} from '../../../features/support/virtual-time.js';
@@ -18,7 +18,7 @@
 import {foundSeries} from './__fixtures__/found-series.js';
 import {Answering, StandInEngine} from './__fixtures__/stand-in-engine.js';
 
-type DeskWorld = World & {time: VirtualTime; engine: StandInEngine; desk: EngineDesk; mayOrder: boolean; begunAt: number | undefined};
+type DeskWorld = World & {time: VirtualTime; engine: StandInEngine; desk: EngineController; mayOrder: boolean; begunAt: number | undefined};
 
 Given('an engine with 3 places that holds 2 models', function (this: DeskWorld) {
 	this.time = new VirtualTime();
@@ -302,19 +302,19 @@
 		readEndpoint: () => endpoint,
 		onEvent: () => undefined,
 	});
-	this.sequence.resume(4);
-	this.giving = this.sequence.give(loadOrder('m1'));
+	this.sequence.setCount(4);
+	this.giving = this.sequence.send(loadOrder('m1'));
 });
 
 When('the count is forgotten and the order is answered as taken', async function (this: SequenceWorld) {
-	this.sequence.forget();
-	this.answer(OrderOutcome.Taken);
+	this.sequence.invalidateCount();
+	this.answer(OrderOutcome.Accepted);
 	await this.giving;
 });
 
 Then('the count is still unknown, and no order goes out before it was read', async function (this: SequenceWorld) {
-	assert.equal(this.sequence.isKnown, false);
-	await this.sequence.give(loadOrder('m2'));
+	assert.equal(this.sequence.isCountKnown, false);
+	await this.sequence.send(loadOrder('m2'));
 	assert.deepEqual(this.sent.map(({order, expectedCount}) => [order.model, expectedCount]), [['m1', 4]]);
 });
 
--- a/packages/mastvalve-fleet-control/__tests__/engine-director.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/engine-director.steps.ts
@@ -11,11 +11,11 @@
 import {
 	FleetCommandKind, FleetMachine, type EngineModel, type FleetCommand, type Holdings,
 } from 'mastvalve-fleet';
-import {EngineDirector} from '../src/engines/engine-director.js';
+import {EngineScheduler} from '../src/engines/engine-scheduler.js';
 import {VirtualTime} from '../../../features/support/virtual-time.js';
 import {Answering, StandInEngine} from './__fixtures__/stand-in-engine.js';
 
-type DirectorWorld = World & {time: VirtualTime; engine: StandInEngine; machine: FleetMachine; director: EngineDirector; term: number | undefined; index: number; events: string[]; records: Holdings[]};
+type DirectorWorld = World & {time: VirtualTime; engine: StandInEngine; machine: FleetMachine; director: EngineScheduler; term: number | undefined; index: number; events: string[]; records: Holdings[]};
 
 const roundMs = 100;
 
@@ -44,7 +44,7 @@
 };
 
 const want = (world: DirectorWorld, ...models: string[]): void => {
-	world.director.hear({
+	world.director.recordReport({
 		entry: 'entry', requests: {}, urgent: {}, headMs: {}, suspects: [], absent: [], leaving: [], wanted: models.map(model => ({
 			service: 'llm', model, waiting: 1, remainingMs: 20_000,
 		})),
@@ -64,7 +64,7 @@
 	apply(this, configureEngines({
 		slots: 4, tokenCapacity: 1000, weightCapacity: 300, adapterSlots: 0, storeLoadsPerSecond: 1, models: ['m1', 'm2', 'm3', 'm4'].map(name => createModel(name)),
 	}));
-	this.director = new EngineDirector({
+	this.director = new EngineScheduler({
 		machine: this.machine,
 		clock: this.time.clock,
 		wait: this.time.wait,
@@ -185,7 +185,7 @@
 			},
 		},
 	});
-	const createNext = (term: number): EngineDirector => new EngineDirector({
+	const createNext = (term: number): EngineScheduler => new EngineScheduler({
 		machine,
 		clock: time.clock,
 		wait: time.wait,
--- a/packages/mastvalve-fleet-control/__tests__/first-demand.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/first-demand.steps.ts
@@ -11,13 +11,13 @@
 import {
 	EndpointPhase, FleetCommandKind, FleetMachine, type EngineState, type FleetCommand, type FleetEndpoint,
 } from 'mastvalve-fleet';
-import {EngineDirector} from '../src/engines/engine-director.js';
-import {EngineRound} from '../src/engines/engine-round.js';
+import {EngineScheduler} from '../src/engines/engine-scheduler.js';
+import {PlanningRound} from '../src/engines/planning-round.js';
 import {OrderOutcome} from '../src/engines/engine-port.js';
 import {VirtualTime} from '../../../features/support/virtual-time.js';
 import {StandInEngine} from './__fixtures__/stand-in-engine.js';
 
-type FirstDemandWorld = World & {time: VirtualTime; engines: StandInEngine[]; machine: FleetMachine; director: EngineDirector; index: number; roundMs: number; spentMs: number; stillMs: number};
+type FirstDemandWorld = World & {time: VirtualTime; engines: StandInEngine[]; machine: FleetMachine; director: EngineScheduler; index: number; roundMs: number; spentMs: number; stillMs: number};
 
 const places = 3;
 const roundMs = 100;
@@ -69,7 +69,7 @@
 		})),
 	}));
 	const find = (id: string): StandInEngine | undefined => world.engines.find(({endpoint}) => endpoint.id === id);
-	world.director = new EngineDirector({
+	world.director = new EngineScheduler({
 		machine: countRounds(world),
 		clock: {now: () => world.time.clock.now() + world.spentMs, wall: () => 0},
 		wait: world.time.wait,
@@ -115,7 +115,7 @@
 When('{string} is asked for {int} times a second for {int} seconds', async function (this: FirstDemandWorld, model: string, rate: number, seconds: number) {
 	await play(this, seconds * 1000, () => {
 		const count = rate * roundMs / 1000;
-		this.director.hear({
+		this.director.recordReport({
 			entry: 'entry', requests: {[model]: count}, urgent: {[model]: count}, headMs: {}, suspects: [], absent: [], leaving: [], wanted: [],
 		});
 	});
@@ -144,7 +144,7 @@
 	const regularEvery = regularRounds === 0 ? Number.POSITIVE_INFINITY : Math.floor(entries / regularRounds);
 	await Array.from({length: entries * seconds}).reduce<Promise<void>>(async (before, _, index) => {
 		await before;
-		world.director.hear({
+		world.director.recordReport({
 			entry: `entry-${index % entries}`, requests: {}, urgent: {}, headMs: {}, suspects: [], absent: [], leaving: [], wanted: [],
 		});
 		if (index % regularEvery === 0 && regularRounds > 0) {
@@ -193,7 +193,7 @@
 		const describe = ({id, failureDomain, holds, inMemory, onDisk}: FleetEndpoint): EngineState => ({
 			id, failureDomain, holds, inMemory, onDisk, isReady: true, hasLateOrder: false, loading: begun.get(id), retiring: undefined, loadingAdapters: [],
 		});
-		const round = new EngineRound(endpoints, describe);
+		const round = new PlanningRound(endpoints, describe);
 		steps.forEach(({engine, loading}) => {
 			begun.set(`m${engine}`, loading);
 			round.refresh(`m${engine}`);
--- a/packages/mastvalve-fleet-control/__tests__/order-turns.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/order-turns.steps.ts
@@ -9,12 +9,12 @@
 import fc from 'fast-check';
 import {StoreRate, WeightSource, type FleetEndpoint} from 'mastvalve-fleet';
 import {ForeignStoreLoads} from '../src/engines/foreign-store-loads.js';
-import {FormerHolder, OrderTurns} from '../src/engines/order-turns.js';
+import {FormerHolder, OrderLeaseGuard} from '../src/engines/order-lease-guard.js';
 import {VirtualTime} from '../../../features/support/virtual-time.js';
 import {StandInEngine} from './__fixtures__/stand-in-engine.js';
 
 type Recorded = {endpoint: FleetEndpoint; at: number};
-type TurnsWorld = World & {recorded: Recorded[]; turns: OrderTurns; rate: StoreRate; bounds: {windowMs: number; loadsPerSecond: number}; noteBegin: (at: number) => void};
+type TurnsWorld = World & {recorded: Recorded[]; turns: OrderLeaseGuard; rate: StoreRate; bounds: {windowMs: number; loadsPerSecond: number}; noteBegin: (at: number) => void};
 
 const template = new StandInEngine(new VirtualTime(), 3, []).endpoint;
 
@@ -39,19 +39,19 @@
 });
 
 When('an instance becomes the holder after another one at {int} ms, with a lease of {int} ms', function (this: TurnsWorld, at: number, leaseMs: number) {
-	this.turns = new OrderTurns(leaseMs);
+	this.turns = new OrderLeaseGuard(leaseMs);
 	// A record is seen when it comes; what was seen last stays.
 	this.recorded.toSorted((a, b) => a.at - b.at).forEach((latest, index, all) => {
 		const others = all.filter(each => each !== latest).map(({endpoint, at: later}, other) => (later > latest.at || other > index ? {...endpoint, orderedAt: 1} : endpoint));
 		this.turns.observe([...others, latest.endpoint], latest.at);
 	});
-	this.turns.begin(at, FormerHolder.Other);
+	this.turns.startClaim(at, FormerHolder.Other);
 });
 
 When('an instance that has just started becomes the holder after another one at {int} ms, with a lease of {int} ms', function (this: TurnsWorld, at: number, leaseMs: number) {
-	this.turns = new OrderTurns(leaseMs);
+	this.turns = new OrderLeaseGuard(leaseMs);
 	this.turns.observe(this.recorded.map(({endpoint}) => endpoint), at);
-	this.turns.begin(at, FormerHolder.Other);
+	this.turns.startClaim(at, FormerHolder.Other);
 });
 
 const findEngine = (world: TurnsWorld, id: string): FleetEndpoint => {
@@ -87,7 +87,7 @@
 
 /** Three instances and one engine; the result tells the shortest time between orders of two holders, ms. */
 const playTurns = (series: readonly Step[], see: (endpoint: FleetEndpoint) => FleetEndpoint): number => {
-	const instances = [0, 1, 2].map(() => new OrderTurns(leaseMs));
+	const instances = [0, 1, 2].map(() => new OrderLeaseGuard(leaseMs));
 	let endpoint = {...template, orderedAt: 0};
 	let revision = 0;
 	let holder = 0;
@@ -98,7 +98,7 @@
 		now += pauseMs;
 		revision += 1;
 		if (kind === 'claim') {
-			instances[next]?.begin(now, next === holder ? FormerHolder.Itself : FormerHolder.Other);
+			instances[next]?.startClaim(now, next === holder ? FormerHolder.Itself : FormerHolder.Other);
 			holder = next;
 		} else if (kind === 'end') {
 			endpoint = {...endpoint, isOrdering: false, orderedAt: revision};
--- a/packages/mastvalve-fleet-control/__tests__/sure-moment.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/sure-moment.steps.ts
@@ -6,15 +6,15 @@
 import {
 	Given, Then, When, type World,
 } from '@cucumber/cucumber';
-import {SureMoment} from '../src/index.js';
+import {FreshnessTracker} from '../src/index.js';
 
 /** Clocks of an instance that may be suspended: its steady clock stands still then. */
 type Clocks = {steady: number; suspendedMs: number};
-type SureWorld = World & {clocks: Clocks; sure: SureMoment; isLeading: boolean; askedAt: number};
+type SureWorld = World & {clocks: Clocks; sure: FreshnessTracker; isLeading: boolean; askedAt: number};
 
 const create = (world: SureWorld, at: number, isLeading: boolean): void => {
 	world.clocks = {steady: at, suspendedMs: 0};
-	world.sure = new SureMoment({
+	world.sure = new FreshnessTracker({
 		group: {
 			get isLeading() {
 				return isLeading;
@@ -39,7 +39,7 @@
 
 When('the leader answers at {int} ms', function (this: SureWorld, at: number) {
 	this.clocks.steady = at;
-	this.sure.note(this.askedAt);
+	this.sure.recordConfirmed(this.askedAt);
 });
 
 When('the instance is suspended for {int} ms, and a follower is answered', function (this: SureWorld, ms: number) {
@@ -49,7 +49,7 @@
 
 When('it asks again at {int} ms and the leader answers at {int} ms', function (this: SureWorld, askedAt: number, at: number) {
 	this.clocks.steady = at;
-	this.sure.note(askedAt);
+	this.sure.recordConfirmed(askedAt);
 });
 
 Then('the instance is sure of the moment {int} ms', function (this: SureWorld, at: number) {
--- a/packages/mastvalve-fleet-control/src/control-node.ts
+++ b/packages/mastvalve-fleet-control/src/control-node.ts
@@ -34,13 +34,13 @@
 	private control: FleetControl | undefined;
 
 	constructor(private readonly options: ControlNodeOptions) {
-		this.directory = this.keepsLog ? undefined : new ControlDirectory(options);
-		this.forwarded = new ForwardedControl({client: options.client, listKeepers: () => this.directory?.listKeepers() ?? options.listKnown()});
+		this.directory = this.hasLog ? undefined : new ControlDirectory(options);
+		this.forwarded = new ForwardedControl({client: options.client, listLogInstances: () => this.directory?.listKeepers() ?? options.listKnown()});
 		this.addHandlers(this.directory?.handlers() ?? []);
 	}
 
 	/** Whether this instance keeps the replicated log. */
-	get keepsLog(): boolean {
+	get hasLog(): boolean {
 		return this.options.dataFolder !== '' && this.options.isLossCounted;
 	}
 
@@ -50,7 +50,7 @@
 	}
 
 	/** The part that keeps the log, once it is open. */
-	get logKeeper(): FleetControl | undefined {
+	get fleetControl(): FleetControl | undefined {
 		return this.control;
 	}
 
@@ -59,13 +59,13 @@
 	 * twice over a link that callers' requests need. Large configurations passed on over slow
 	 * links are acknowledged too late. Undefined when this instance keeps the log, or knows none that does.
 	 */
-	findDecider(): string | undefined {
-		return this.keepsLog ? undefined : this.options.readLeader() ?? this.directory?.listKeepers()[0];
+	findRedirectTarget(): string | undefined {
+		return this.hasLog ? undefined : this.options.readLeader() ?? this.directory?.listKeepers()[0];
 	}
 
 	/** Addresses to ask for the state of the fleet: this instance itself if it keeps the log, then others. */
 	listSources(): string[] {
-		const own = this.keepsLog ? [this.options.address] : this.directory?.listKeepers() ?? [];
+		const own = this.hasLog ? [this.options.address] : this.directory?.listKeepers() ?? [];
 		return [...own, ...this.options.readSeeds().filter(address => address !== this.options.address)];
 	}
 
@@ -85,8 +85,8 @@
 	}
 
 	/** Hands leadership over, so that a planned stop costs no election. */
-	async handOver(): Promise<void> {
-		await this.control?.handOver();
+	async transferLeadership(): Promise<void> {
+		await this.control?.transferLeadership();
 	}
 
 	async stop(): Promise<void> {
--- a/packages/mastvalve-fleet-control/src/demand-report.ts
+++ b/packages/mastvalve-fleet-control/src/demand-report.ts
@@ -13,7 +13,7 @@
 	/** Time in which an engine without a queue begins an answer, as far as the entry has learned it, by model, ms. */
 	headMs: Record<string, number>;
 	/** What requests wait for now. */
-	wanted: Wanted[];
+	wanted: PendingDemand[];
 	/** Endpoints that refused a request for a model or adapter which they were thought to hold. */
 	suspects: string[];
 	/** Endpoints at whose addresses nobody listened. */
@@ -23,13 +23,13 @@
 };
 
 /** What the leader answers. */
-export type DemandAnswer = {
+export type DemandResponse = {
 	/** Entries that have reported lately: they share what all of them together may ask for. */
 	entries: number;
 };
 
 /** A model, or an adapter of one, that requests wait for. */
-export type Wanted = {
+export type PendingDemand = {
 	service: string;
 	model: string;
 	adapter?: string;
--- a/packages/mastvalve-fleet-control/src/engines/change-watch.ts
+++ b/packages/mastvalve-fleet-control/src/engines/change-watch.ts
@@ -7,12 +7,12 @@
 import type {EnginePort} from './engine-port.js';
 
 /** Who has shown that an order is done. */
-export enum ChangeSeen {
-	No = 'no',
+export enum ChangeConfirmation {
+	None = 'no',
 	/** The engine, when it was asked; the record lacks it. */
-	Told = 'told',
+	Status = 'told',
 	/** A heartbeat, so it is on record. */
-	Recorded = 'recorded',
+	Record = 'recorded',
 }
 
 /** What a watch is made from. */
@@ -37,18 +37,18 @@
 	constructor(private readonly options: ChangeWatchOptions) {}
 
 	/** Waits until the models that the engine holds are as they should be; `expectedMs` is the time that the order takes. */
-	async waitUntil(isReached: (holds: string[]) => boolean, expectedMs: number): Promise<ChangeSeen> {
+	async waitUntil(isReached: (holds: string[]) => boolean, expectedMs: number): Promise<ChangeConfirmation> {
 		const {clock, wait, readEndpoint} = this.options;
 		const startedAt = clock.now();
 		let askAt = startedAt + expectedMs + overdueMs;
 		while (clock.now() - startedAt < maxMoveMs) {
 			const endpoint = readEndpoint();
 			if (!endpoint) {
-				return ChangeSeen.No;
+				return ChangeConfirmation.None;
 			}
 
 			if (isReached(endpoint.holds.map(({name}) => name))) {
-				return ChangeSeen.Recorded;
+				return ChangeConfirmation.Record;
 			}
 
 			if (clock.now() > askAt) {
@@ -64,16 +64,16 @@
 			await wait(pollMs);
 		}
 
-		return ChangeSeen.No;
+		return ChangeConfirmation.None;
 	}
 
 	/** What the engine says; undefined while it says nothing, or an order is still under way. */
-	private async ask({id, address}: FleetEndpoint, isReached: (holds: string[]) => boolean): Promise<ChangeSeen | undefined> {
+	private async ask({id, address}: FleetEndpoint, isReached: (holds: string[]) => boolean): Promise<ChangeConfirmation | undefined> {
 		const status = await this.options.port.readStatus(id, address);
 		if (!status || status.isBusy) {
 			return undefined;
 		}
 
-		return isReached(status.holds.map(({name}) => name)) ? ChangeSeen.Told : ChangeSeen.No;
+		return isReached(status.holds.map(({name}) => name)) ? ChangeConfirmation.Status : ChangeConfirmation.None;
 	}
 }
--- a/packages/mastvalve-fleet-control/src/engines/engine-desk.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
@@ -7,15 +7,15 @@
 	EngineLedger, EngineOrderKind,
 	type AdapterMove, type AdapterName, type EngineOrder, type EngineSpec, type EngineState, type ExpectedLoad, type FleetEndpoint, type HeldModel, type Holdings, type ModelMove,
 } from 'mastvalve-fleet';
-import {ChangeSeen, ChangeWatch} from './change-watch.js';
+import {ChangeConfirmation, ChangeWatch} from './change-watch.js';
 import type {EngineStatus} from './engine-port.js';
 import {isSameSet, isSettled} from './settled-state.js';
 import {
-	lateOrderMs, OrderEffect, OrderSequence, type OrderSequenceOptions,
+	maxOrderDelayMs, OrderEffect, OrderSequence, type OrderSequenceOptions,
 } from './order-sequence.js';
 
 /** What a desk is made from. */
-export type EngineDeskOptions = OrderSequenceOptions & {
+export type EngineControllerOptions = OrderSequenceOptions & {
 	/** Records what orders change; whether that was committed. Every order is preceded by a record. */
 	publish: (holdings: Holdings) => Promise<boolean>;
 	/** What the engine has room for; undefined while no configuration says it. */
@@ -35,7 +35,7 @@
 const adapterMsPerMb = 0.3;
 
 /** One desk. */
-export class EngineDesk {
+export class EngineController {
 	private readonly orders: OrderSequence;
 	private readonly ledger: EngineLedger;
 	private readonly watch: ChangeWatch;
@@ -49,7 +49,7 @@
 	/** Moves that were begun and have not ended. */
 	private moves = 0;
 
-	constructor(private readonly options: EngineDeskOptions) {
+	constructor(private readonly options: EngineControllerOptions) {
 		this.orders = new OrderSequence(options);
 		this.watch = new ChangeWatch(options);
 		this.ledger = options.ledger ?? new EngineLedger();
@@ -60,16 +60,16 @@
 	 * same. Otherwise it is read again soon.
 	 */
 	get isReady(): boolean {
-		if ((!this.orders.isKnown || this.orders.isStatusDue) && !this.isSyncing) {
+		if ((!this.orders.isCountKnown || this.orders.isStatusDue) && !this.isSyncing) {
 			this.requestSync();
 		}
 
-		return this.orders.isKnown;
+		return this.orders.isCountKnown;
 	}
 
 	/** What placement needs to know. Until the true state was read, what a former holder has recorded counts as well. */
 	describe(endpoint: FleetEndpoint): EngineState {
-		const recorded = this.orders.isKnown ? undefined : endpoint;
+		const recorded = this.orders.isCountKnown ? undefined : endpoint;
 		return {
 			id: endpoint.id,
 			failureDomain: endpoint.failureDomain,
@@ -108,8 +108,8 @@
 		this.tellBegun(effect, onBegun);
 		if (isTaken(effect)) {
 			const seen = await this.watch.waitUntil(holds => holds.includes(move.load), expectedMs);
-			const isThere = seen !== ChangeSeen.No;
-			if (seen === ChangeSeen.Recorded) {
+			const isThere = seen !== ChangeConfirmation.None;
+			if (seen === ChangeConfirmation.Record) {
 				this.ledger.noteLoaded(move.load);
 			}
 
@@ -147,7 +147,7 @@
 	/** Without an answer, the load may begin for as long as its order may be carried out late. */
 	private tellBegun(effect: OrderEffect, onBegun: () => void): void {
 		if (effect === OrderEffect.Unknown) {
-			void this.options.wait(lateOrderMs).then(onBegun);
+			void this.options.wait(maxOrderDelayMs).then(onBegun);
 		} else {
 			onBegun();
 		}
@@ -161,7 +161,7 @@
 		}
 
 		if (effect === OrderEffect.UnderWay) {
-			this.orders.forget();
+			this.orders.invalidateCount();
 		}
 
 		return effect === OrderEffect.Done;
@@ -172,12 +172,12 @@
 		const spec = this.options.readSpec();
 		if (!spec || this.mayMeetLateOrder(order) || !this.ledger.mayOrder(order, this.recordedHolds, spec)) {
 			this.options.onEvent('order.withheld', `${order.kind} ${order.model}${order.adapter === undefined ? '' : `/${order.adapter}`} at ${this.options.id}: it may not fit`);
-			this.orders.forget();
+			this.orders.invalidateCount();
 			return OrderEffect.None;
 		}
 
 		this.ledger.noteSent(order, this.recordedHolds);
-		const effect = await this.orders.give(order);
+		const effect = await this.orders.send(order);
 		if (effect === OrderEffect.None) {
 			this.ledger.noteRefused(order);
 		}
@@ -202,9 +202,9 @@
 	 * An order whose end was not seen may still be under way, and one whose end no heartbeat has told is missing in the
 	 * record: its memory is not free until the engine and the record say the same.
 	 */
-	private requireSync(seen: ChangeSeen): void {
-		if (seen !== ChangeSeen.Recorded) {
-			this.orders.forget();
+	private requireSync(seen: ChangeConfirmation): void {
+		if (seen !== ChangeConfirmation.Record) {
+			this.orders.invalidateCount();
 		}
 	}
 
@@ -219,10 +219,10 @@
 	private async unload(model: string): Promise<boolean> {
 		await this.options.wait(retireNoticeMs);
 		const effect = await this.order({kind: EngineOrderKind.Unload, model, adapter: undefined});
-		const seen = isTaken(effect) ? await this.watch.waitUntil(holds => !holds.includes(model), 0) : ChangeSeen.No;
-		const isGone = seen !== ChangeSeen.No;
+		const seen = isTaken(effect) ? await this.watch.waitUntil(holds => !holds.includes(model), 0) : ChangeConfirmation.None;
+		const isGone = seen !== ChangeConfirmation.None;
 		// While the model is on record, its room does not count as free.
-		this.requireSync(isGone ? ChangeSeen.Recorded : seen);
+		this.requireSync(isGone ? ChangeConfirmation.Record : seen);
 		if (isGone) {
 			this.ledger.noteGone(model);
 		}
@@ -248,10 +248,10 @@
 		const endpoint = this.options.readEndpoint();
 		if (endpoint && status && isSettled(status, endpoint)) {
 			this.takeOver(endpoint);
-			this.orders.resume(status.orderCount);
+			this.orders.setCount(status.orderCount);
 			await this.publishDifference(endpoint, status);
 		} else {
-			this.orders.forget();
+			this.orders.invalidateCount();
 			await this.options.wait(unsettledPauseMs);
 		}
 
--- a/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
@@ -5,7 +5,7 @@
 import {
 	anticipateRates, DemandStep, ModelDemandEstimate, type AdapterName, type EngineSpec, type ModelPlanInput, type WantedModel,
 } from 'mastvalve-fleet';
-import type {DemandReport, Wanted} from '../demand-report.js';
+import type {DemandReport, PendingDemand} from '../demand-report.js';
 
 /**
  * Requests a second, for each engine, that are expected of the first models of the list until the first request comes, so
@@ -25,7 +25,7 @@
 };
 
 /** What an entry wants, with its deadline in this instance's clock, monotonic ms. */
-export type KnownWanted = Wanted & {deadlineAt: number};
+export type KnownWanted = PendingDemand & {deadlineAt: number};
 
 /** The demand. */
 export class EngineDemand {
--- a/packages/mastvalve-fleet-control/src/engines/engine-port.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-port.ts
@@ -7,7 +7,7 @@
 /** What became of an order. */
 export enum OrderOutcome {
 	/** It is under way. */
-	Taken = 'taken',
+	Accepted = 'taken',
 	/** It was in force already, or took no time. */
 	InForce = 'in-force',
 	/** Another order is under way, or the count of orders is another one. */
--- a/packages/mastvalve-fleet-control/src/engines/engine-director.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
@@ -11,15 +11,15 @@
 import type {Clock} from 'mastvalve-utils';
 import type {DemandReport} from '../demand-report.js';
 import {EngineDemand} from './engine-demand.js';
-import {EngineDesk} from './engine-desk.js';
+import {EngineController} from './engine-controller.js';
 import type {EnginePort} from './engine-port.js';
-import {EngineMover} from './engine-mover.js';
-import {EngineRound} from './engine-round.js';
+import {MoveDispatcher} from './move-dispatcher.js';
+import {PlanningRound} from './planning-round.js';
 import {ForeignStoreLoads} from './foreign-store-loads.js';
-import {FormerHolder, OrderTurns} from './order-turns.js';
+import {FormerHolder, OrderLeaseGuard} from './order-lease-guard.js';
 
 /** What directing needs. */
-export type EngineDirectorOptions = {
+export type EngineSchedulerOptions = {
 	machine: FleetMachine;
 	clock: Clock;
 	/** Waits so many ms. */
@@ -58,16 +58,16 @@
 const maxPlanningPauseMs = 500;
 
 /** The director. */
-export class EngineDirector {
+export class EngineScheduler {
 	private readonly demand: EngineDemand;
-	private readonly mover: EngineMover;
+	private readonly mover: MoveDispatcher;
 	/** Until when an engine at whose address nobody listened is planned without, ms. */
 	private readonly absentUntil = new Map<string, number>();
-	private readonly desks = new Map<string, EngineDesk>();
+	private readonly desks = new Map<string, EngineController>();
 	private readonly storeRate = new StoreRate();
 	private readonly storeLoads = new ForeignStoreLoads(this.storeRate);
 	private claimedTerm: number | undefined;
-	private readonly turns: OrderTurns;
+	private readonly turns: OrderLeaseGuard;
 	/** Rises whenever all desks are closed. */
 	private generation = 0;
 	private isClaiming = false;
@@ -79,14 +79,14 @@
 	/** Whether nobody gave orders before, so that the list of models is at its beginning. */
 	private isFirstHolder = false;
 
-	constructor(private readonly options: EngineDirectorOptions) {
-		this.turns = new OrderTurns(options.orderLeaseMs + leaseReserveMs);
+	constructor(private readonly options: EngineSchedulerOptions) {
+		this.turns = new OrderLeaseGuard(options.orderLeaseMs + leaseReserveMs);
 		this.demand = new EngineDemand(() => options.clock.now());
-		this.mover = new EngineMover({...options, storeRate: this.storeRate, deskOf: id => this.deskOf(id)});
+		this.mover = new MoveDispatcher({...options, storeRate: this.storeRate, controllerFor: id => this.deskOf(id)});
 	}
 
 	/** Hears what callers of one entry ask for. */
-	hear(report: DemandReport): void {
+	recordReport(report: DemandReport): void {
 		this.demand.hear(report);
 		const now = this.options.clock.now();
 		report.absent.forEach(id => {
@@ -97,7 +97,7 @@
 	}
 
 	/** Entries that have reported lately. */
-	countEntries(): number {
+	countActiveEntries(): number {
 		return this.demand.countEntries();
 	}
 
@@ -173,7 +173,7 @@
 		this.closeDesks();
 		this.claimedTerm = term;
 		this.soleHolderSince = former === '' ? Number.NEGATIVE_INFINITY : clock.now();
-		this.turns.begin(clock.now(), classifyFormer(former, holder));
+		this.turns.startClaim(clock.now(), classifyFormer(former, holder));
 		onEvent('orders.claimed', `in term ${term} after ${former || 'nobody'}`);
 	}
 
@@ -190,9 +190,9 @@
 			this.demand.expectFirst(engine, endpoints.length);
 		}
 
-		const round = new EngineRound(endpoints, endpoint => this.describe(endpoint));
+		const round = new PlanningRound(endpoints, endpoint => this.describe(endpoint));
 		const demand = this.demand.look(engine);
-		this.mover.move(engine, round, demand, wanted);
+		this.mover.dispatchMoves(engine, round, demand, wanted);
 	}
 
 	private isAbsent(id: string): boolean {
@@ -209,7 +209,7 @@
 		return {...state, isReady: state.isReady && this.turns.mayOrder(endpoint, this.options.clock.now())};
 	}
 
-	private deskOf(id: string): EngineDesk {
+	private deskOf(id: string): EngineController {
 		const {machine, clock, wait, port, holder, publish, onEvent} = this.options;
 		const known = this.desks.get(id);
 		if (known) {
@@ -218,7 +218,7 @@
 
 		const {claimedTerm: term, generation} = this;
 		const isOpen = (): boolean => this.generation === generation;
-		const desk = new EngineDesk({
+		const desk = new EngineController({
 			id,
 			port,
 			clock,
--- a/packages/mastvalve-fleet-control/src/engines/engine-mover.ts
+++ b/packages/mastvalve-fleet-control/src/engines/move-dispatcher.ts
@@ -10,13 +10,13 @@
 import {
 	listWantedAdapters, sumByModel, type DemandOutlook, type KnownWanted,
 } from './engine-demand.js';
-import type {EngineDesk} from './engine-desk.js';
-import type {EngineRound} from './engine-round.js';
+import type {EngineController} from './engine-controller.js';
+import type {PlanningRound} from './planning-round.js';
 
 /** What beginning moves needs. */
-export type EngineMoverOptions = {
+export type MoveDispatcherOptions = {
 	clock: Clock;
-	deskOf: (engine: string) => EngineDesk;
+	controllerFor: (engine: string) => EngineController;
 	/** Loads from the weight store, of this holder of the orders and of others. */
 	storeRate: StoreRate;
 	/** Window in which loads from the store are counted, ms. */
@@ -30,17 +30,17 @@
 const maxPrefetchesPerRound = 8;
 
 /** The mover. */
-export class EngineMover {
-	constructor(private readonly options: EngineMoverOptions) {}
+export class MoveDispatcher {
+	constructor(private readonly options: MoveDispatcherOptions) {}
 
 	/** Begins what is worth it at this moment: adapters that requests wait for, adapters ahead of need, then models. */
-	move(spec: EngineSpec, round: EngineRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
+	dispatchMoves(spec: EngineSpec, round: PlanningRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
 		this.moveAdapters(spec, round, demand, wanted);
 		this.prefetchAdapters(spec, round, demand);
 		this.moveModels(spec, round, demand, wanted);
 	}
 
-	private moveAdapters(spec: EngineSpec, round: EngineRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
+	private moveAdapters(spec: EngineSpec, round: PlanningRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
 		listWantedAdapters(wanted).forEach(({model, adapter}) => {
 			const move = planAdapterMove({
 				spec, engines: round.engines, model, adapter, idleOf: demand.adapterIdleOf,
@@ -52,7 +52,7 @@
 	}
 
 	/** Loads adapters into free slots before anybody waits for them. */
-	private prefetchAdapters(spec: EngineSpec, round: EngineRound, {expectedRateOf}: DemandOutlook): void {
+	private prefetchAdapters(spec: EngineSpec, round: PlanningRound, {expectedRateOf}: DemandOutlook): void {
 		Array.from({length: maxPrefetchesPerRound}).some(() => {
 			const move = planAdapterPrefetch({spec, engines: round.engines, expectedRateOf});
 			if (move) {
@@ -63,12 +63,12 @@
 		});
 	}
 
-	private beginAdapter(spec: EngineSpec, round: EngineRound, move: AdapterMove): void {
-		void this.options.deskOf(move.engine).moveAdapter(move, findModel(spec, move.model)?.adapterSize ?? 0);
+	private beginAdapter(spec: EngineSpec, round: PlanningRound, move: AdapterMove): void {
+		void this.options.controllerFor(move.engine).moveAdapter(move, findModel(spec, move.model)?.adapterSize ?? 0);
 		round.refresh(move.engine);
 	}
 
-	private moveModels(spec: EngineSpec, round: EngineRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
+	private moveModels(spec: EngineSpec, round: PlanningRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
 		Array.from({length: maxMovesPerRound}).some(() => {
 			const move = this.planMove(spec, round, demand, wanted);
 			if (move) {
@@ -80,13 +80,13 @@
 		});
 	}
 
-	private planMove(spec: EngineSpec, {engines}: EngineRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): ModelMove | undefined {
+	private planMove(spec: EngineSpec, {engines}: PlanningRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): ModelMove | undefined {
 		return planModelMove({
 			...demand,
 			spec,
 			engines,
 			wanted: sumByModel(wanted),
-			heldFor: (id, model) => this.options.deskOf(id).heldFor(model),
+			heldFor: (id, model) => this.options.controllerFor(id).heldFor(model),
 			storeLoads: this.options.storeRate.available(this.storeBounds(spec), this.options.clock.now()),
 		});
 	}
@@ -99,7 +99,7 @@
 		const noteBegin = move.source === WeightSource.Store ? this.options.storeRate.order() : undefined;
 
 		this.options.onEvent('engine.moves', `${move.engine} loads ${move.load} from ${move.source}${move.evict === undefined ? '' : ` in place of ${move.evict}`}; ${rate.toFixed(2)} requests/s`);
-		void this.options.deskOf(move.engine).moveModel(move, expected[move.source], () => {
+		void this.options.controllerFor(move.engine).moveModel(move, expected[move.source], () => {
 			noteBegin?.(this.options.clock.now());
 		});
 	}
--- a/packages/mastvalve-fleet-control/src/engines/order-turns.ts
+++ b/packages/mastvalve-fleet-control/src/engines/order-lease-guard.ts
@@ -18,7 +18,7 @@
 type Seen = {orderedAt: number; at: number};
 
 /** The turns at all engines. */
-export class OrderTurns {
+export class OrderLeaseGuard {
 	private readonly seen = new Map<string, Seen>();
 	private readonly own = new Set<string>();
 	private claimedAt: number | undefined;
@@ -44,7 +44,7 @@
 	 * This instance has become the holder. One that claims again after itself goes on with the wait of its former claim; if
 	 * it doesn't know that claim, it was restarted, and may have waited in vain for whoever came before.
 	 */
-	begin(now: number, former: FormerHolder): void {
+	startClaim(now: number, former: FormerHolder): void {
 		if (former === FormerHolder.Itself && this.claimedAt !== undefined) {
 			return;
 		}
--- a/packages/mastvalve-fleet-control/src/engines/order-sequence.ts
+++ b/packages/mastvalve-fleet-control/src/engines/order-sequence.ts
@@ -46,7 +46,7 @@
 /** What an engine says of itself is up to some hundred ms old, ms. */
 const statusAgeMs = 500;
 /** An unanswered order that was not carried out in this time never will be, ms: late ones came 2 to 12 s late. */
-export const lateOrderMs = 13_000;
+export const maxOrderDelayMs = 13_000;
 
 /** The sequence. */
 export class OrderSequence {
@@ -65,7 +65,7 @@
 	}
 
 	/** Whether the count is known, so that orders can be given. */
-	get isKnown(): boolean {
+	get isCountKnown(): boolean {
 		return this.count !== undefined;
 	}
 
@@ -80,12 +80,12 @@
 	}
 
 	/** The count must be read again before the next order. */
-	forget(): void {
+	invalidateCount(): void {
 		this.count = undefined;
 	}
 
 	/** The count was read, with a state that is newer than the last order. */
-	resume(count: number): void {
+	setCount(count: number): void {
 		this.count = count;
 		if (this.isStatusDue) {
 			this.lateOrderUntil = undefined;
@@ -94,7 +94,7 @@
 
 	/** A copy of an order may still be carried out. */
 	expectLateOrder(): void {
-		this.lateOrderUntil = this.options.clock.now() + lateOrderMs;
+		this.lateOrderUntil = this.options.clock.now() + maxOrderDelayMs;
 	}
 
 	/** Reads the engine's state, not older than the last order. */
@@ -110,7 +110,7 @@
 	}
 
 	/** Gives one order until it is answered. */
-	async give(order: EngineOrder): Promise<OrderEffect> {
+	async send(order: EngineOrder): Promise<OrderEffect> {
 		const {effect, isAnswered} = await this.sendUntilAnswered(order);
 		if (isAnswered) {
 			return effect;
@@ -144,7 +144,7 @@
 			this.lastOrderAt = this.options.clock.now();
 			onEvent('order.sent', `${what}, count ${expectedCount}: ${outcome}`);
 			switch (outcome) {
-				case OrderOutcome.Taken: {
+				case OrderOutcome.Accepted: {
 					this.advance(expectedCount);
 					this.lateOrderUntil = undefined;
 					return {effect: OrderEffect.UnderWay, isAnswered: true};
--- a/packages/mastvalve-fleet-control/src/engines/engine-round.ts
+++ b/packages/mastvalve-fleet-control/src/engines/planning-round.ts
@@ -6,7 +6,7 @@
 import type {EngineState, FleetEndpoint} from 'mastvalve-fleet';
 
 /** The engines of one round. */
-export class EngineRound {
+export class PlanningRound {
 	private readonly endpoints: ReadonlyMap<string, FleetEndpoint>;
 	private readonly states: Map<string, EngineState>;
 
--- a/packages/mastvalve-fleet-control/src/fleet-control.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-control.ts
@@ -14,17 +14,17 @@
 } from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
 import type {ControlService} from './control-service.js';
-import type {DemandAnswer, DemandReport} from './demand-report.js';
-import {EngineDirector} from './engines/engine-director.js';
+import type {DemandResponse, DemandReport} from './demand-report.js';
+import {EngineScheduler} from './engines/engine-scheduler.js';
 import type {EnginePort} from './engines/engine-port.js';
-import {FleetDuties} from './fleet-duties.js';
+import {FleetMaintenance} from './fleet-maintenance.js';
 import {FollowService} from './follow-service.js';
 import type {FollowRequest} from './follow.js';
 import {createForwardedHandlers} from './forwarded-control.js';
 import {LimitPublisher} from './limit-publisher.js';
-import {LimitService, type LimitQuestion} from './limit-service.js';
+import {LimitService, type LimitRequest} from './limit-service.js';
 import {Liveness} from './liveness.js';
-import {SureMoment} from './sure-moment.js';
+import {FreshnessTracker} from './freshness-tracker.js';
 
 /** What a control instance is made from. */
 export type FleetControlOptions = Omit<ControlGroupOptions, 'machine'> & {
@@ -64,19 +64,19 @@
 
 	readonly group: ControlGroup;
 	private readonly liveness = new Liveness();
-	private readonly duties: FleetDuties;
+	private readonly duties: FleetMaintenance;
 	private readonly followers: FollowService;
 	private readonly ending = new AbortController();
 	private readonly startedAt: number;
-	private readonly director: EngineDirector;
-	private readonly sure: SureMoment;
+	private readonly director: EngineScheduler;
+	private readonly sure: FreshnessTracker;
 	private readonly limits: LimitService;
 	private readonly limitPublisher: LimitPublisher;
 
 	private constructor(private readonly options: FleetControlOptions, readonly machine: FleetMachine, group: ControlGroup) {
 		this.group = group;
 		this.startedAt = options.clock.now();
-		this.sure = new SureMoment({
+		this.sure = new FreshnessTracker({
 			group,
 			clock: options.clock,
 			onError(thrown) {
@@ -99,7 +99,7 @@
 			machine, group, clock: options.clock, sure: this.sure, ending: this.ending.signal,
 		});
 		this.director = this.createDirector();
-		this.duties = new FleetDuties({
+		this.duties = new FleetMaintenance({
 			group,
 			machine,
 			liveness: this.liveness,
@@ -119,13 +119,13 @@
 			['/follow', async (body, signal) => this.followers.follow(assumeType<FollowRequest>(body), signal)],
 			['/demand', async body => {
 				const report = assumeType<DemandReport>(body);
-				this.director.hear(report);
+				this.director.recordReport(report);
 				await this.markLeaving(report.leaving);
-				const answer: DemandAnswer = {entries: this.director.countEntries()};
+				const answer: DemandResponse = {entries: this.director.countActiveEntries()};
 				return this.group.isLeading ? ok(answer) : err(new ControlUnavailableError('This control instance does not lead.'));
 			}],
 			['/limits', async body => {
-				const answers = this.limits.settle(assumeType<LimitQuestion>(body));
+				const answers = this.limits.answer(assumeType<LimitRequest>(body));
 				this.limitPublisher.publish().catch((error: unknown) => {
 					this.options.onError(`limits of endpoints were not recorded and will be: ${describeError(error)}`);
 				});
@@ -133,7 +133,7 @@
 			}],
 			['/crashes', async body => this.takeCrashes(assumeType<CrashReport[]>(body))],
 			['/heard', async body => {
-				this.liveness.hear(assumeType<string[]>(body), this.options.clock.now());
+				this.liveness.recordHeartbeats(assumeType<string[]>(body), this.options.clock.now());
 				return ok(true);
 			}],
 		];
@@ -148,19 +148,19 @@
 		await Promise.all([
 			this.group.run(),
 			...(this.options.mustProveKeys ? [this.sure.run(this.ending.signal)] : []),
-			repeatUntilAborted(this.ending.signal, dutyPauseMs, async () => this.duties.carryOut(), onError),
+			repeatUntilAborted(this.ending.signal, dutyPauseMs, async () => this.duties.runRound(), onError),
 			repeatUntilAborted(this.ending.signal, directPauseMs, async () => this.director.runRound(), onError),
 		]);
 	}
 
 	/** Hands leadership over, so that a planned stop costs no election. */
-	async handOver(): Promise<void> {
+	async transferLeadership(): Promise<void> {
 		await this.group.handOver();
 	}
 
 	/** Stops; hands over before. */
 	async stop(): Promise<void> {
-		await this.handOver();
+		await this.transferLeadership();
 		this.ending.abort();
 		this.followers.wake();
 		await this.group.stop();
@@ -200,7 +200,7 @@
 			return err(new UnknownEndpointError(report.id));
 		}
 
-		this.liveness.hear([report.id], this.options.clock.now());
+		this.liveness.recordHeartbeats([report.id], this.options.clock.now());
 		if (this.group.isCurrent && !this.machine.isNews(report)) {
 			return ok(true);
 		}
@@ -242,9 +242,9 @@
 		this.options.onEvent('endpoint.leaving', `${ids.join(', ')}: their answers say so; ${result.isOk() ? 'recorded' : `not recorded yet: ${result.error.message}`}`);
 	}
 
-	private createDirector(): EngineDirector {
+	private createDirector(): EngineScheduler {
 		const {options, machine, group} = this;
-		return new EngineDirector({
+		return new EngineScheduler({
 			machine,
 			clock: options.clock,
 			wait: waitFor,
--- a/packages/mastvalve-fleet-control/src/fleet-duties.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-maintenance.ts
@@ -11,10 +11,10 @@
 import type {Clock} from 'mastvalve-utils';
 import type {Result} from 'neverthrow';
 import type {Liveness, LivenessTimes} from './liveness.js';
-import {QuarantineClock} from './quarantine-clock.js';
+import {QuarantineExpiry} from './quarantine-expiry.js';
 
 /** What they are carried out with. */
-export type FleetDutiesOptions = {
+export type FleetMaintenanceOptions = {
 	group: ControlGroup;
 	machine: FleetMachine;
 	/** Who was heard when, by this instance and by those that told it. */
@@ -33,17 +33,17 @@
 const forgetSilentAfterMs = 90_000;
 
 /** The duties. */
-export class FleetDuties {
-	private readonly quarantineClock = new QuarantineClock();
+export class FleetMaintenance {
+	private readonly quarantineClock = new QuarantineExpiry();
 	private readonly times: LivenessTimes;
 	private wasLeading = false;
 
-	constructor(private readonly options: FleetDutiesOptions) {
+	constructor(private readonly options: FleetMaintenanceOptions) {
 		this.times = {silentAfterMs: missedHeartbeats * options.heartbeatMs, forgetGoneAfterMs, forgetSilentAfterMs};
 	}
 
 	/** One round. */
-	async carryOut(): Promise<void> {
+	async runRound(): Promise<void> {
 		const {group, liveness, publishLimits} = this.options;
 		if (!group.isLeading) {
 			this.wasLeading = false;
@@ -91,7 +91,7 @@
 
 	/** The leader hears from the others whom they have heard. */
 	private async passHeard(): Promise<void> {
-		const ids = this.options.liveness.takeFresh();
+		const ids = this.options.liveness.takeUnforwarded();
 		if (ids.length > 0) {
 			await this.options.group.callLeader('/heard', ids);
 		}
--- a/packages/mastvalve-fleet-control/src/follow-service.ts
+++ b/packages/mastvalve-fleet-control/src/follow-service.ts
@@ -7,15 +7,15 @@
 import {ControlUnavailableError, type MastvalveError} from 'mastvalve-types';
 import {waitFor, type Clock} from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
-import type {FollowAnswer, FollowRequest} from './follow.js';
-import type {SureMoment} from './sure-moment.js';
+import type {FollowResponse, FollowRequest} from './follow.js';
+import type {FreshnessTracker} from './freshness-tracker.js';
 
 /** What it is made from. */
 export type FollowServiceOptions = {
 	machine: FleetMachine;
 	group: ControlGroup;
 	clock: Clock;
-	sure: SureMoment;
+	sure: FreshnessTracker;
 	/** Aborts when the instance ends. */
 	ending: AbortSignal;
 };
@@ -34,7 +34,7 @@
 	constructor(private readonly options: FollowServiceOptions) {}
 
 	/** Answers a follower: at once when there is something new, else when something changes. */
-	async follow({place, waitMs, mustBeNewest}: FollowRequest, signal: AbortSignal): Promise<Result<FollowAnswer, MastvalveError>> {
+	async follow({place, waitMs, mustBeNewest}: FollowRequest, signal: AbortSignal): Promise<Result<FollowResponse, MastvalveError>> {
 		const cameAt = this.options.clock.now();
 		const fresh = mustBeNewest ? await this.readFreshSoon(Math.min(waitMs, maxFollowWaitMs), signal) : ok(true);
 		if (fresh.isErr()) {
@@ -42,7 +42,7 @@
 		}
 
 		if (mustBeNewest) {
-			this.options.sure.note(cameAt);
+			this.options.sure.recordConfirmed(cameAt);
 		}
 
 		if (!this.options.machine.hasChangesSince(place) && !this.options.machine.isBehind(place)) {
@@ -66,7 +66,7 @@
 		});
 	}
 
-	private createAnswer(place: FollowRequest['place'], cameAt: number): FollowAnswer {
+	private createAnswer(place: FollowRequest['place'], cameAt: number): FollowResponse {
 		const {machine, group, sure} = this.options;
 		const sureAt = sure.read();
 		return {
--- a/packages/mastvalve-fleet-control/src/follow.ts
+++ b/packages/mastvalve-fleet-control/src/follow.ts
@@ -15,7 +15,7 @@
 };
 
 /** The answer. */
-export type FollowAnswer = {
+export type FollowResponse = {
 	update: FleetUpdate;
 	/** Addresses of all control instances, for the next questions. */
 	members: string[];
--- a/packages/mastvalve-fleet-control/src/forwarded-control.ts
+++ b/packages/mastvalve-fleet-control/src/forwarded-control.ts
@@ -15,7 +15,7 @@
 export type ForwardedControlOptions = {
 	client: PeerClient;
 	/** Addresses of control instances, the nearest first. */
-	listKeepers: () => string[];
+	listLogInstances: () => string[];
 };
 
 /**
@@ -47,7 +47,7 @@
 	}
 
 	private async pass<T>(call: ForwardedCall, body: unknown): Promise<Result<T, MastvalveError>> {
-		const addresses = this.options.listKeepers().slice(0, maxTries);
+		const addresses = this.options.listLogInstances().slice(0, maxTries);
 		const none: Result<T, MastvalveError> = err(new ControlUnavailableError('No control instance is known that could decide.'));
 		return addresses.reduce<Promise<Result<T, MastvalveError>>>(async (before, address) => {
 			const result = await before;
--- a/packages/mastvalve-fleet-control/src/sure-moment.ts
+++ b/packages/mastvalve-fleet-control/src/freshness-tracker.ts
@@ -9,7 +9,7 @@
 import {repeatUntilAborted, SuspensionWatch, type Clock} from 'mastvalve-utils';
 
 /** What it is made from. */
-export type SureMomentOptions = {
+export type FreshnessTrackerOptions = {
 	group: Pick<ControlGroup, 'isLeading' | 'readFresh'>;
 	clock: Clock;
 	onError: (thrown: unknown) => void;
@@ -19,11 +19,11 @@
 const askPauseMs = 250;
 
 /** The moment. Times are monotonic, ms. */
-export class SureMoment {
+export class FreshnessTracker {
 	private readonly proven = new ProvenMoment();
 	private readonly suspension: SuspensionWatch;
 
-	constructor(private readonly options: SureMomentOptions) {
+	constructor(private readonly options: FreshnessTrackerOptions) {
 		this.suspension = new SuspensionWatch(options.clock);
 	}
 
@@ -38,7 +38,7 @@
 	}
 
 	/** All that was committed up to a moment was read from the leader, in a question that began then. */
-	note(askedAt: number): void {
+	recordConfirmed(askedAt: number): void {
 		this.endIfSuspended();
 		this.proven.record(askedAt, askedAt);
 	}
@@ -52,7 +52,7 @@
 		const askedAt = this.options.clock.now();
 		const fresh = await this.options.group.readFresh();
 		if (fresh.isOk()) {
-			this.note(askedAt);
+			this.recordConfirmed(askedAt);
 		}
 	}
 
--- a/packages/mastvalve-fleet-control/src/limit-service.ts
+++ b/packages/mastvalve-fleet-control/src/limit-service.ts
@@ -23,7 +23,7 @@
 };
 
 /** What an entry asks of the leader. */
-export type LimitQuestion = {
+export type LimitRequest = {
 	entry: string;
 	claims: LimitClaim[];
 	/** What answers of endpoints said of their limits. */
@@ -39,7 +39,7 @@
 };
 
 /** The answer. */
-export type LimitAnswers = {
+export type LimitResponse = {
 	/** For each claim in its order 0, or the time until it can be taken, ms. */
 	waitMs: number[];
 	/** For each request for a limited endpoint. */
@@ -59,7 +59,7 @@
 	constructor(private readonly options: LimitServiceOptions) {}
 
 	/** Answers claims; undefined when another instance may lead. */
-	settle({entry, claims, history, words, handovers, unused, released}: LimitQuestion): LimitAnswers | undefined {
+	answer({entry, claims, history, words, handovers, unused, released}: LimitRequest): LimitResponse | undefined {
 		const account = this.openAccount();
 		if (!account) {
 			return undefined;
--- a/packages/mastvalve-fleet-control/src/liveness.ts
+++ b/packages/mastvalve-fleet-control/src/liveness.ts
@@ -20,7 +20,7 @@
 	private fresh = new Set<string>();
 
 	/** Hears of endpoints. */
-	hear(ids: readonly string[], now: number): void {
+	recordHeartbeats(ids: readonly string[], now: number): void {
 		ids.forEach(id => {
 			this.heardAt.set(id, now);
 			this.fresh.add(id);
@@ -28,7 +28,7 @@
 	}
 
 	/** Who was heard since the last call. */
-	takeFresh(): string[] {
+	takeUnforwarded(): string[] {
 		const ids = [...this.fresh];
 		this.fresh = new Set();
 		return ids;
--- a/packages/mastvalve-fleet-control/src/quarantine-clock.ts
+++ b/packages/mastvalve-fleet-control/src/quarantine-expiry.ts
@@ -6,7 +6,7 @@
 import {quarantineMs} from 'mastvalve-fleet';
 
 /** The clock. */
-export class QuarantineClock {
+export class QuarantineExpiry {
 	private readonly since = new Map<string, number>();
 
 	/** Gives every quarantine its whole time. */
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
@@ -5,7 +5,7 @@
 
 import {PeerError} from 'mastvalve-cluster';
 import {
-	LimitPublisher, LimitService, type LimitAnswers, type LimitQuestion,
+	LimitPublisher, LimitService, type LimitResponse, type LimitRequest,
 } from 'mastvalve-fleet-control';
 import {FleetCommandKind, type FleetCommand, type FleetEndpoint} from 'mastvalve-fleet';
 import {
@@ -195,7 +195,7 @@
 		const view = new Map(this.recorded);
 		const client = new LimitClient({
 			entry: `entry ${index} ${this.random()}`,
-			client: {call: async ({body}) => this.call(entry, assumeType<LimitQuestion>(body))},
+			client: {call: async ({body}) => this.call(entry, assumeType<LimitRequest>(body))},
 			readLeader: () => 'leader',
 			readEntries: () => this.options.entries,
 			random: this.random,
@@ -214,11 +214,11 @@
 		return entry;
 	}
 
-	private async call<T>(entry: Entry, question: LimitQuestion): Promise<Result<T, PeerError>> {
+	private async call<T>(entry: Entry, question: LimitRequest): Promise<Result<T, PeerError>> {
 		this.calls += 1;
 		await this.time.wait(callMs / 2);
 		const asked = this.options.fault === LimitFault.Untold ? {...question, words: []} : question;
-		const answers: LimitAnswers | undefined = entry.isCut ? undefined : this.leader?.settle(asked);
+		const answers: LimitResponse | undefined = entry.isCut ? undefined : this.leader?.answer(asked);
 		void this.publisher?.publish();
 		await this.time.wait(answers ? callMs / 2 : silenceMs);
 		return answers ? ok(assumeType<T>(answers)) : err(new PeerError('leader', '/limits', 'no answer'));
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
@@ -7,7 +7,7 @@
 import {connect} from 'node:net';
 import {readPresentedKey, type Workspace} from 'mastvalve-access';
 import {PeerError} from 'mastvalve-cluster';
-import type {LimitQuestion} from 'mastvalve-fleet-control';
+import type {LimitRequest} from 'mastvalve-fleet-control';
 import {
 	ConfigurationChangeKind, EndpointPhase, RouteKind,
 	type ConfigurationChange, type ConfigurationFrame, type ExpectedLoad, type FleetEndpoint, type Route,
@@ -278,7 +278,7 @@
 	}
 
 	private async answerClaims(body: unknown): Promise<Result<never, PeerError>> {
-		const {claims, handovers} = assumeType<LimitQuestion>(body);
+		const {claims, handovers} = assumeType<LimitRequest>(body);
 		this.claimed.push(...claims.map(({cost}) => cost));
 		return this.limitWaitMs === undefined
 			? err(new PeerError('leader', '/limits', 'no answer'))
--- a/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
+++ b/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
@@ -3,7 +3,7 @@
  */
 
 import type {PeerClient} from 'mastvalve-cluster';
-import type {DemandAnswer} from 'mastvalve-fleet-control';
+import type {DemandResponse} from 'mastvalve-fleet-control';
 import {waitFor} from 'mastvalve-utils';
 import type {ModelDemand} from '../routing/model-demand.js';
 
@@ -46,7 +46,7 @@
 			return false;
 		}
 
-		const answer = await this.client.call<DemandAnswer>({
+		const answer = await this.client.call<DemandResponse>({
 			address, path: '/demand', body: demand.take(), silenceMs, signal,
 		});
 		this.entries = answer.isOk() ? answer.value.entries : this.entries;
--- a/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
@@ -6,7 +6,7 @@
  */
 
 import type {PeerClient} from 'mastvalve-cluster';
-import type {FollowAnswer} from 'mastvalve-fleet-control';
+import type {FollowResponse} from 'mastvalve-fleet-control';
 import {waitFor} from 'mastvalve-utils';
 import type {AccessChecker} from '../access/access-checker.js';
 import type {FleetView} from './fleet-view.js';
@@ -88,7 +88,7 @@
 		const asking = new AbortController();
 		this.asking = asking;
 		const askedAt = now();
-		const answer = await client.call<FollowAnswer>({
+		const answer = await client.call<FollowResponse>({
 			address, path: '/follow', silenceMs, signal: AbortSignal.any([signal, asking.signal]), body: {place: view.place, waitMs, mustBeNewest},
 		});
 		if (answer.isErr() && asking.signal.aborted) {
--- a/packages/mastvalve-gateway/src/limits/leader-account.ts
+++ b/packages/mastvalve-gateway/src/limits/leader-account.ts
@@ -5,7 +5,7 @@
 
 import type {GrantHistory} from 'mastvalve-access';
 import type {PeerClient} from 'mastvalve-cluster';
-import type {LimitAnswers, LimitQuestion} from 'mastvalve-fleet-control';
+import type {LimitResponse, LimitRequest} from 'mastvalve-fleet-control';
 
 /** What it is made from. */
 export type LeaderAccountOptions = {
@@ -22,7 +22,7 @@
 };
 
 /** What is asked, without who asks. */
-export type AccountQuestion = Omit<LimitQuestion, 'entry' | 'history'>;
+export type AccountQuestion = Omit<LimitRequest, 'entry' | 'history'>;
 
 /** A question that claims nothing: whether a leader answers. */
 export const emptyQuestion: AccountQuestion = {
@@ -39,9 +39,9 @@
 	constructor(private readonly options: LeaderAccountOptions) {}
 
 	/** Asks the leader. A call that broke off is made once more: kept connections are closed now and then, and a claim that counts twice harms nobody. */
-	async ask(asked: AccountQuestion): Promise<LimitAnswers | undefined> {
+	async ask(asked: AccountQuestion): Promise<LimitResponse | undefined> {
 		const {entry, history, now} = this.options;
-		const question: LimitQuestion = {...asked, entry};
+		const question: LimitRequest = {...asked, entry};
 		const askedAt = now();
 		const first = await this.call(question);
 		const hasBroken = first === undefined && now() - askedAt < brokenMs;
@@ -54,14 +54,14 @@
 		return told?.needsHistory === false ? told : undefined;
 	}
 
-	private async call(question: LimitQuestion): Promise<LimitAnswers | undefined> {
+	private async call(question: LimitRequest): Promise<LimitResponse | undefined> {
 		const {client, readLeader, signal} = this.options;
 		const address = readLeader();
 		if (address === undefined) {
 			return undefined;
 		}
 
-		const answer = await client.call<LimitAnswers>({
+		const answer = await client.call<LimitResponse>({
 			address, path: '/limits', body: question, silenceMs, signal,
 		});
 		return answer.isOk() ? answer.value : undefined;
--- a/packages/mastvalve-gateway/src/limits/limit-client.ts
+++ b/packages/mastvalve-gateway/src/limits/limit-client.ts
@@ -5,7 +5,7 @@
  */
 
 import {GrantHistory, LocalLimits, type LimitClaim} from 'mastvalve-access';
-import type {LimitAnswers} from 'mastvalve-fleet-control';
+import type {LimitResponse} from 'mastvalve-fleet-control';
 import {
 	LocalRates, type HandoverClaim, type HandoverGrant, type ToldWord,
 } from 'mastvalve-limits';
@@ -161,7 +161,7 @@
 		return batch;
 	}
 
-	private settle({returned, claims, handovers}: LimitBatch, {waitMs, grants, grantedAt}: LimitAnswers): void {
+	private settle({returned, claims, handovers}: LimitBatch, {waitMs, grants, grantedAt}: LimitResponse): void {
 		claims.forEach(({claim, resolve}, index) => {
 			resolve(this.takeAnswer(claim, waitMs[returned.length + index] ?? 0));
 		});
--- a/packages/mastvalve-gateway/src/routing/model-demand.ts
+++ b/packages/mastvalve-gateway/src/routing/model-demand.ts
@@ -2,7 +2,7 @@
  * Which models and adapters callers ask this entry for, and which of them no endpoint holds. Control learns of it.
  */
 
-import type {DemandReport, Wanted} from 'mastvalve-fleet-control';
+import type {DemandReport, PendingDemand} from 'mastvalve-fleet-control';
 import type {HeadTimes} from './head-times.js';
 
 type Waiting = {service: string; model: string; adapter: string | undefined; deadlines: number[]};
@@ -93,7 +93,7 @@
 			suspects: [...suspects],
 			absent: [...absent],
 			leaving: [...this.leaving],
-			wanted: [...this.waiting.values()].map(({service, model, adapter, deadlines}): Wanted => ({
+			wanted: [...this.waiting.values()].map(({service, model, adapter, deadlines}): PendingDemand => ({
 				service, model, adapter, waiting: deadlines.length, remainingMs: Math.round(Math.min(...deadlines) - now),
 			})),
 		};
