--- a/packages/mastvalve-fleet-control/__tests__/__fixtures__/desk-series.ts
+++ b/packages/mastvalve-fleet-control/__tests__/__fixtures__/desk-series.ts
@@ -47,7 +47,7 @@
 		return;
 	}
 
-	const evict = state.holds.length < places && !state.hasLateOrder ? undefined : state.holds[0]?.name;
+	const evict = state.holds.length < places && !state.hasUnresolvedOrder ? undefined : state.holds[0]?.name;
 	void desk.moveModel({
 		engine: 'e', load: model, evict, source: WeightSource.Disk,
 	}, 2000);
@@ -91,7 +91,7 @@
 	const state = desk.describe(engine.endpoint);
 	const held = state.holds.flatMap(({name, adapters}) => adapters.map(each => ({model: name, adapter: each})));
 	const isThere = held.some(each => each.adapter === adapter) || state.loadingAdapters.some(name => name.endsWith(`/${adapter}`));
-	const isFull = !isCareless && (held.length + state.loadingAdapters.length >= 2 || state.hasLateOrder);
+	const isFull = !isCareless && (held.length + state.loadingAdapters.length >= 2 || state.hasUnresolvedOrder);
 	if (!mayMove(state) || isThere || (isFull && held.length === 0)) {
 		return;
 	}
@@ -148,18 +148,18 @@
 };
 
 class GoneAtOnce extends EngineLedger {
-	override plan(adapter: AdapterName, evicted: AdapterName | undefined): void {
-		super.plan(adapter, evicted);
+	override beginLoad(adapter: AdapterName, evicted: AdapterName | undefined): void {
+		super.beginLoad(adapter, evicted);
 		if (evicted) {
-			this.noteUnloaded(evicted, []);
+			this.recordAdapterUnloaded(evicted, []);
 		}
 	}
 }
 
 class CountedWhenSeen extends EngineLedger {
-	override noteSent(order: EngineOrder, recorded: readonly HeldModel[]): void {
+	override recordSent(order: EngineOrder, recorded: readonly HeldModel[]): void {
 		if (order.adapter === undefined) {
-			super.noteSent(order, recorded);
+			super.recordSent(order, recorded);
 		}
 	}
 }
@@ -167,15 +167,15 @@
 class RefusedWithoutAnswer extends EngineLedger {
 	private readonly sent: EngineOrder[] = [];
 
-	override noteSent(order: EngineOrder, recorded: readonly HeldModel[]): void {
-		super.noteSent(order, recorded);
+	override recordSent(order: EngineOrder, recorded: readonly HeldModel[]): void {
+		super.recordSent(order, recorded);
 		this.sent.push(order);
 	}
 
-	override endPlan(adapter: AdapterName): void {
-		super.endPlan(adapter);
+	override endLoad(adapter: AdapterName): void {
+		super.endLoad(adapter);
 		this.sent.splice(0).forEach(order => {
-			this.noteRefused(order);
+			this.recordRefusal(order);
 		});
 	}
 }
--- a/packages/mastvalve-fleet-control/__tests__/engine-desk.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/engine-desk.steps.ts
@@ -172,7 +172,7 @@
 
 Then('only an order without need for room may be planned', function (this: DeskWorld) {
 	const state = this.desk.describe(this.engine.endpoint);
-	assert.deepEqual([state.isReady, state.hasLateOrder], [true, true]);
+	assert.deepEqual([state.isReady, state.hasUnresolvedOrder], [true, true]);
 });
 
 When('its first order is taken', async function (this: DeskWorld) {
@@ -184,7 +184,7 @@
 
 Then('any order may be planned', function (this: DeskWorld) {
 	const state = this.desk.describe(this.engine.endpoint);
-	assert.deepEqual([state.isReady, state.hasLateOrder], [true, false]);
+	assert.deepEqual([state.isReady, state.hasUnresolvedOrder], [true, false]);
 });
 
 Given('one adapter that requests use, and one free slot', async function (this: DeskWorld) {
--- a/packages/mastvalve-fleet-control/__tests__/first-demand.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/first-demand.steps.ts
@@ -191,7 +191,7 @@
 		const begun = new Map<string, string | undefined>();
 		const endpoints = names(8).map(id => toEndpoint(id));
 		const describe = ({id, failureDomain, holds, inMemory, onDisk}: FleetEndpoint): EngineState => ({
-			id, failureDomain, holds, inMemory, onDisk, isReady: true, hasLateOrder: false, loading: begun.get(id), retiring: undefined, loadingAdapters: [],
+			id, failureDomain, holds, inMemory, onDisk, isReady: true, hasUnresolvedOrder: false, loading: begun.get(id), retiring: undefined, loadingAdapters: [],
 		});
 		const round = new PlanningRound(endpoints, describe);
 		steps.forEach(({engine, loading}) => {
--- a/packages/mastvalve-fleet-control/__tests__/order-turns.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/order-turns.steps.ts
@@ -7,14 +7,14 @@
 	Before, Given, Then, When, type World,
 } from '@cucumber/cucumber';
 import fc from 'fast-check';
-import {StoreRate, WeightSource, type FleetEndpoint} from 'mastvalve-fleet';
+import {StoreLoadLimiter, WeightSource, type FleetEndpoint} from 'mastvalve-fleet';
 import {ForeignStoreLoads} from '../src/engines/foreign-store-loads.js';
 import {FormerHolder, OrderLeaseGuard} from '../src/engines/order-lease-guard.js';
 import {VirtualTime} from '../../../features/support/virtual-time.js';
 import {StandInEngine} from './__fixtures__/stand-in-engine.js';
 
 type Recorded = {endpoint: FleetEndpoint; at: number};
-type TurnsWorld = World & {recorded: Recorded[]; turns: OrderLeaseGuard; rate: StoreRate; bounds: {windowMs: number; loadsPerSecond: number}; noteBegin: (at: number) => void};
+type TurnsWorld = World & {recorded: Recorded[]; turns: OrderLeaseGuard; rate: StoreLoadLimiter; bounds: {windowMs: number; loadsPerSecond: number}; noteBegin: (at: number) => void};
 
 const template = new StandInEngine(new VirtualTime(), 3, []).endpoint;
 
@@ -126,7 +126,7 @@
 });
 
 Given('a store that allows {int} loads a second in windows of {int} ms', function (this: TurnsWorld, loadsPerSecond: number, windowMs: number) {
-	this.rate = new StoreRate();
+	this.rate = new StoreLoadLimiter();
 	this.bounds = {loadsPerSecond, windowMs};
 });
 
@@ -140,11 +140,11 @@
 });
 
 When('a load is ordered at 0 ms and known to have begun at {int} ms', function (this: TurnsWorld, at: number) {
-	const noteBegin = this.rate.order();
-	assert.equal(this.rate.available(this.bounds, at - 1000), 9);
+	const noteBegin = this.rate.reserve();
+	assert.equal(this.rate.countAvailable(this.bounds, at - 1000), 9);
 	noteBegin(at);
 });
 
 Then('{int} loads may begin at {int} ms', function (this: TurnsWorld, count: number, at: number) {
-	assert.equal(this.rate.available(this.bounds, at), count);
+	assert.equal(this.rate.countAvailable(this.bounds, at), count);
 });
--- a/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
@@ -74,11 +74,11 @@
 			id: endpoint.id,
 			failureDomain: endpoint.failureDomain,
 			isReady: this.isReady,
-			hasLateOrder: this.orders.hasLateOrder,
-			holds: this.ledger.describe(endpoint.holds),
+			hasUnresolvedOrder: this.orders.hasLateOrder,
+			holds: this.ledger.listHeldModels(endpoint.holds),
 			loading: (this.loading ?? recorded?.loading)?.model,
 			retiring: this.retiring ?? recorded?.retiring,
-			loadingAdapters: this.ledger.comingAdapters,
+			loadingAdapters: this.ledger.pendingAdapters,
 			limitPerSecond: endpoint.limitPerSecond,
 			inMemory: endpoint.inMemory,
 			onDisk: endpoint.onDisk,
@@ -110,7 +110,7 @@
 			const seen = await this.watch.waitUntil(holds => holds.includes(move.load), expectedMs);
 			const isThere = seen !== ChangeConfirmation.None;
 			if (seen === ChangeConfirmation.Record) {
-				this.ledger.noteLoaded(move.load);
+				this.ledger.recordLoaded(move.load);
 			}
 
 			this.requireSync(seen);
@@ -126,7 +126,7 @@
 	/** Changes which adapters the engine holds. */
 	async moveAdapter({model, load, evict}: AdapterMove, sizeMb: number): Promise<void> {
 		const name: AdapterName = {model, adapter: load};
-		this.ledger.plan(name, evict);
+		this.ledger.beginLoad(name, evict);
 		this.moves += 1;
 		const isRecorded = await this.publish();
 		const effect = isRecorded
@@ -139,7 +139,7 @@
 			await this.options.wait(adapterFixedMs + (sizeMb * adapterMsPerMb));
 		}
 
-		this.ledger.endPlan(name);
+		this.ledger.endLoad(name);
 		this.moves -= 1;
 		await this.publish();
 	}
@@ -157,7 +157,7 @@
 	private async freeSlot({model, adapter}: AdapterName): Promise<boolean> {
 		const effect = await this.give({kind: EngineOrderKind.Unload, model, adapter});
 		if (effect === OrderEffect.Done) {
-			this.ledger.noteUnloaded({model, adapter}, this.recordedHolds);
+			this.ledger.recordAdapterUnloaded({model, adapter}, this.recordedHolds);
 		}
 
 		if (effect === OrderEffect.UnderWay) {
@@ -176,10 +176,10 @@
 			return OrderEffect.None;
 		}
 
-		this.ledger.noteSent(order, this.recordedHolds);
+		this.ledger.recordSent(order, this.recordedHolds);
 		const effect = await this.orders.send(order);
 		if (effect === OrderEffect.None) {
-			this.ledger.noteRefused(order);
+			this.ledger.recordRefusal(order);
 		}
 
 		return effect;
@@ -224,7 +224,7 @@
 		// While the model is on record, its room does not count as free.
 		this.requireSync(isGone ? ChangeConfirmation.Record : seen);
 		if (isGone) {
-			this.ledger.noteGone(model);
+			this.ledger.recordUnloaded(model);
 		}
 
 		this.heldSince.delete(model);
@@ -268,8 +268,8 @@
 	/** Takes the engine's state as all there is, and publishes what the record lacks: other adapters, or the end of what a former holder had begun. */
 	private async publishDifference({isOrdering, retiring, loading, holds: recorded}: FleetEndpoint, {holds}: EngineStatus): Promise<void> {
 		const isLeftOver = !this.hasRecorded && (isOrdering || retiring !== undefined || loading !== undefined);
-		const before = this.ledger.describe(recorded);
-		this.ledger.settle(holds);
+		const before = this.ledger.listHeldModels(recorded);
+		this.ledger.reconcile(holds);
 		if (isLeftOver || !isSameAdapters(before, holds)) {
 			await this.publish();
 		}
--- a/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
@@ -3,7 +3,7 @@
  */
 
 import {
-	anticipateRates, DemandStep, ModelDemandEstimate, type AdapterName, type EngineSpec, type ModelPlanInput, type WantedModel,
+	forecastRates, DemandShiftDetector, ModelDemandEstimate, type AdapterName, type EngineSpec, type ModelPlanInput, type PendingModel,
 } from 'mastvalve-fleet';
 import type {DemandReport, PendingDemand} from '../demand-report.js';
 
@@ -19,7 +19,7 @@
 const wantedMs = 3000;
 
 /** The demand for the models of a service at one moment; rates in requests a second, times in ms. */
-export type DemandOutlook = Pick<ModelPlanInput, 'rateOf' | 'expectedRateOf' | 'shownRateOf' | 'headMsOf' | 'idleOf' | 'urgentIdleOf'> & {
+export type DemandOutlook = Pick<ModelPlanInput, 'rateOf' | 'expectedRateOf' | 'observedRateOf' | 'timeToFirstByteMsOf' | 'idleMsOf' | 'urgentIdleMsOf'> & {
 	/** Time since an adapter was last asked for, as `model/adapter`. */
 	adapterIdleOf: (name: string) => number;
 };
@@ -34,7 +34,7 @@
 	private readonly urgent = new ModelDemandEstimate();
 	/** By `model/adapter`. */
 	private readonly adapters = new ModelDemandEstimate();
-	private readonly step = new DemandStep();
+	private readonly step = new DemandShiftDetector();
 	/** Time to begin an answer by model and entry, ms. */
 	private readonly headTimes = new Map<string, Map<string, number>>();
 	/** By entry. */
@@ -62,7 +62,7 @@
 	/** Before the first request, demand is expected in the order in which models are declared. */
 	expectFirst(spec: EngineSpec, engines: number): void {
 		if (this.all.isEmpty) {
-			this.all.expect(spec.models.map(({name}, rank) => [name, (expectedRates[rank] ?? 0) * engines]));
+			this.all.setExpectedRates(spec.models.map(({name}, rank) => [name, (expectedRates[rank] ?? 0) * engines]));
 		}
 	}
 
@@ -76,13 +76,13 @@
 		}
 
 		const rates = new Map(models.map(model => [model, this.all.rateOf(model, now)]));
-		const shownRates = new Map(models.map(model => [model, this.all.shownRateOf(model, now)]));
-		const anticipate = (known: ReadonlyMap<string, number>): Map<string, number> => anticipateRates({
+		const shownRates = new Map(models.map(model => [model, this.all.observedRateOf(model, now)]));
+		const anticipate = (known: ReadonlyMap<string, number>): Map<string, number> => forecastRates({
 			models,
 			rateOf: model => known.get(model) ?? 0,
 			urgentRateOf: model => urgent.get(model) ?? 0,
-			isPatient: model => this.all.knows(model) && !this.urgent.knows(model),
-			step: this.step.step,
+			isLatencyTolerant: model => this.all.hasRecorded(model) && !this.urgent.hasRecorded(model),
+			shift: this.step.shift,
 		});
 		const headTimes = this.averageHeadTimes();
 		const usualHeadMs = mean([...headTimes.values()]) ?? firstHeadMs;
@@ -91,11 +91,11 @@
 		return {
 			rateOf: model => rates.get(model) ?? 0,
 			expectedRateOf: model => expected.get(model) ?? 0,
-			shownRateOf: model => shown.get(model) ?? 0,
-			headMsOf: model => headTimes.get(model) ?? usualHeadMs,
-			idleOf: model => this.all.idleOf(model, now),
-			urgentIdleOf: model => this.urgent.idleOf(model, now),
-			adapterIdleOf: name => this.adapters.idleOf(name, now),
+			observedRateOf: model => shown.get(model) ?? 0,
+			timeToFirstByteMsOf: model => headTimes.get(model) ?? usualHeadMs,
+			idleMsOf: model => this.all.idleMsOf(model, now),
+			urgentIdleMsOf: model => this.urgent.idleMsOf(model, now),
+			adapterIdleOf: name => this.adapters.idleMsOf(name, now),
 		};
 	}
 
@@ -131,7 +131,7 @@
 };
 
 /** How many requests wait for each model, over all entries. */
-export const sumByModel = (wanted: readonly KnownWanted[]): WantedModel[] => {
+export const sumByModel = (wanted: readonly KnownWanted[]): PendingModel[] => {
 	const waiting = new Map<string, number>();
 	wanted.forEach(item => {
 		waiting.set(item.model, (waiting.get(item.model) ?? 0) + item.waiting);
--- a/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
@@ -6,7 +6,7 @@
  */
 
 import {
-	EndpointPhase, StoreRate, type EngineState, type FleetEndpoint, type FleetMachine, type Holdings, type ServedService,
+	EndpointPhase, StoreLoadLimiter, type EngineState, type FleetEndpoint, type FleetMachine, type Holdings, type ServedService,
 } from 'mastvalve-fleet';
 import type {Clock} from 'mastvalve-utils';
 import type {DemandReport} from '../demand-report.js';
@@ -64,7 +64,7 @@
 	/** Until when an engine at whose address nobody listened is planned without, ms. */
 	private readonly absentUntil = new Map<string, number>();
 	private readonly desks = new Map<string, EngineController>();
-	private readonly storeRate = new StoreRate();
+	private readonly storeRate = new StoreLoadLimiter();
 	private readonly storeLoads = new ForeignStoreLoads(this.storeRate);
 	private claimedTerm: number | undefined;
 	private readonly turns: OrderLeaseGuard;
--- a/packages/mastvalve-fleet-control/src/engines/foreign-store-loads.ts
+++ b/packages/mastvalve-fleet-control/src/engines/foreign-store-loads.ts
@@ -3,21 +3,21 @@
  * that becomes the holder then knows what is left of the store's rate.
  */
 
-import {WeightSource, type FleetEndpoint, type StoreRate} from 'mastvalve-fleet';
+import {WeightSource, type FleetEndpoint, type StoreLoadLimiter} from 'mastvalve-fleet';
 
 /** The count. */
 export class ForeignStoreLoads {
 	/** Model on its way, by endpoint. */
 	private readonly known = new Map<string, string>();
 
-	constructor(private readonly rate: StoreRate) {}
+	constructor(private readonly rate: StoreLoadLimiter) {}
 
 	/** Looks at the records, often; a load counts from the moment at which it was first seen, ms. */
 	observe(endpoints: readonly FleetEndpoint[], now: number): void {
 		endpoints.forEach(({id, loading}) => {
 			const model = loading?.source === WeightSource.Store ? loading.model : undefined;
 			if (model !== undefined && model !== this.known.get(id)) {
-				this.rate.record(now);
+				this.rate.recordStart(now);
 			}
 
 			if (model === undefined) {
--- a/packages/mastvalve-fleet-control/src/engines/move-dispatcher.ts
+++ b/packages/mastvalve-fleet-control/src/engines/move-dispatcher.ts
@@ -4,7 +4,7 @@
 
 import {
 	planAdapterMove, planAdapterPrefetch, planModelMove, WeightSource,
-	type AdapterMove, type EngineModel, type EngineSpec, type ModelMove, type StoreBounds, type StoreRate,
+	type AdapterMove, type EngineModel, type EngineSpec, type ModelMove, type StoreLoadLimits, type StoreLoadLimiter,
 } from 'mastvalve-fleet';
 import type {Clock} from 'mastvalve-utils';
 import {
@@ -18,7 +18,7 @@
 	clock: Clock;
 	controllerFor: (engine: string) => EngineController;
 	/** Loads from the weight store, of this holder of the orders and of others. */
-	storeRate: StoreRate;
+	storeRate: StoreLoadLimiter;
 	/** Window in which loads from the store are counted, ms. */
 	storeWindowMs: number;
 	onEvent: (kind: string, detail: string) => void;
@@ -43,7 +43,7 @@
 	private moveAdapters(spec: EngineSpec, round: PlanningRound, demand: DemandOutlook, wanted: readonly KnownWanted[]): void {
 		listWantedAdapters(wanted).forEach(({model, adapter}) => {
 			const move = planAdapterMove({
-				spec, engines: round.engines, model, adapter, idleOf: demand.adapterIdleOf,
+				spec, engines: round.engines, model, adapter, idleMsOf: demand.adapterIdleOf,
 			});
 			if (move) {
 				this.beginAdapter(spec, round, move);
@@ -85,9 +85,9 @@
 			...demand,
 			spec,
 			engines,
-			wanted: sumByModel(wanted),
-			heldFor: (id, model) => this.options.controllerFor(id).heldFor(model),
-			storeLoads: this.options.storeRate.available(this.storeBounds(spec), this.options.clock.now()),
+			pending: sumByModel(wanted),
+			residencyMsOf: (id, model) => this.options.controllerFor(id).heldFor(model),
+			availableStoreLoads: this.options.storeRate.countAvailable(this.storeBounds(spec), this.options.clock.now()),
 		});
 	}
 
@@ -96,7 +96,7 @@
 		const expected: Record<WeightSource, number> = {
 			[WeightSource.Memory]: model?.memoryLoadMs ?? 0, [WeightSource.Disk]: model?.diskLoadMs ?? 0, [WeightSource.Store]: model?.storeLoadMs ?? 0,
 		};
-		const noteBegin = move.source === WeightSource.Store ? this.options.storeRate.order() : undefined;
+		const noteBegin = move.source === WeightSource.Store ? this.options.storeRate.reserve() : undefined;
 
 		this.options.onEvent('engine.moves', `${move.engine} loads ${move.load} from ${move.source}${move.evict === undefined ? '' : ` in place of ${move.evict}`}; ${rate.toFixed(2)} requests/s`);
 		void this.options.controllerFor(move.engine).moveModel(move, expected[move.source], () => {
@@ -104,7 +104,7 @@
 		});
 	}
 
-	private storeBounds(spec: EngineSpec): StoreBounds {
+	private storeBounds(spec: EngineSpec): StoreLoadLimits {
 		return {windowMs: this.options.storeWindowMs, loadsPerSecond: spec.storeLoadsPerSecond};
 	}
 }
--- a/packages/mastvalve-fleet/__tests__/placement.steps.ts
+++ b/packages/mastvalve-fleet/__tests__/placement.steps.ts
@@ -8,10 +8,10 @@
 } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import {
-	anticipateRates, DemandStep, fits, ModelDemandEstimate, planModelMove, WeightSource, type EngineSpec, type EngineState, type ModelPlanInput,
+	forecastRates, DemandShiftDetector, fitsInMemory, ModelDemandEstimate, planModelMove, WeightSource, type EngineSpec, type EngineState, type ModelPlanInput,
 } from '../src/index.js';
 
-type PlacementWorld = World & {held: string[]; plan: ModelPlanInput; demandStep: DemandStep; estimate: ModelDemandEstimate};
+type PlacementWorld = World & {held: string[]; plan: ModelPlanInput; demandStep: DemandShiftDetector; estimate: ModelDemandEstimate};
 
 const spec: EngineSpec = {
 	slots: 64, tokenCapacity: 1000, weightCapacity: 300, adapterSlots: 4, storeLoadsPerSecond: 1,
@@ -21,21 +21,21 @@
 };
 
 const engine = (id: string, models: readonly string[], more: Partial<EngineState> = {}): EngineState => ({
-	id, failureDomain: 'a', isReady: true, hasLateOrder: false, holds: models.map(name => ({name, adapters: []})), loading: undefined, retiring: undefined, loadingAdapters: [], inMemory: [], onDisk: [], ...more,
+	id, failureDomain: 'a', isReady: true, hasUnresolvedOrder: false, holds: models.map(name => ({name, adapters: []})), loading: undefined, retiring: undefined, loadingAdapters: [], inMemory: [], onDisk: [], ...more,
 });
 
 const planInput = (engines: readonly EngineState[], rates: Record<string, number>, wanted: readonly string[] = []): ModelPlanInput => ({
 	spec,
 	engines,
-	wanted: wanted.map(model => ({model, waiting: 1})),
+	pending: wanted.map(model => ({model, waiting: 1})),
 	rateOf: model => rates[model] ?? 0,
-	headMsOf: () => 125,
+	timeToFirstByteMsOf: () => 125,
 	expectedRateOf: model => rates[model] ?? 0,
-	shownRateOf: model => rates[model] ?? 0,
-	idleOf: model => ((rates[model] ?? 0) > 0 ? 100 : 60_000),
-	urgentIdleOf: model => ((rates[model] ?? 0) > 0 ? 100 : 60_000),
-	heldFor: () => 60_000,
-	storeLoads: 5,
+	observedRateOf: model => rates[model] ?? 0,
+	idleMsOf: model => ((rates[model] ?? 0) > 0 ? 100 : 60_000),
+	urgentIdleMsOf: model => ((rates[model] ?? 0) > 0 ? 100 : 60_000),
+	residencyMsOf: () => 60_000,
+	availableStoreLoads: 5,
 });
 
 Given('2 engines with one free place each, and weights of no model on their disks', function (this: PlacementWorld) {
@@ -105,14 +105,14 @@
 	const rates = Object.fromEntries(ratesOf(text).map((rate, rank) => [names[rank] ?? '', rate]));
 	const rateOf = (model: string): number => rates[model] ?? 0;
 	const isPatient = (model: string): boolean => patient.includes(model);
-	const expected = anticipateRates({
-		models: names, rateOf, urgentRateOf: model => (isPatient(model) ? 0 : rateOf(model)), isPatient, step: undefined,
+	const expected = forecastRates({
+		models: names, rateOf, urgentRateOf: model => (isPatient(model) ? 0 : rateOf(model)), isLatencyTolerant: isPatient, shift: undefined,
 	});
 	const input = planInput(held.map((models, index) => engine(String(index), [...models], {onDisk: [...names]})), rates);
 	return {
 		...input,
 		expectedRateOf: model => expected.get(model) ?? 0,
-		urgentIdleOf: model => (isPatient(model) ? 60_000 : input.idleOf(model)),
+		urgentIdleMsOf: model => (isPatient(model) ? 60_000 : input.idleMsOf(model)),
 	};
 };
 
@@ -141,7 +141,7 @@
 });
 
 When('the model {string} is waited for', function (this: PlacementWorld, model: string) {
-	this.plan = {...this.plan, wanted: [{model, waiting: 1}]};
+	this.plan = {...this.plan, pending: [{model, waiting: 1}]};
 });
 
 Then('{string} does not give way', function (this: PlacementWorld, model: string) {
@@ -151,7 +151,7 @@
 });
 
 Given('demand that was seen at {string} requests a second, then at {string}', function (this: PlacementWorld, first: string, second: string) {
-	this.demandStep = new DemandStep();
+	this.demandStep = new DemandShiftDetector();
 	[first, second].forEach((text, index) => {
 		[0, 500, 1000].forEach(later => {
 			this.demandStep.observe(ratesOf(text), (index * 5000) + later);
@@ -166,18 +166,18 @@
 });
 
 Then('the step is {int}', function (this: PlacementWorld, step: number) {
-	assert.equal(this.demandStep.step, step);
+	assert.equal(this.demandStep.shift, step);
 });
 
 Then('no step was seen', function (this: PlacementWorld) {
-	assert.equal(this.demandStep.step, undefined);
+	assert.equal(this.demandStep.shift, undefined);
 });
 
 Then('at {string} requests a second the busiest of the other models is expected to be {string}', function (this: PlacementWorld, text: string, model: string) {
 	const rates = ratesOf(text);
 	const rateOf = (name: string): number => rates[names.indexOf(name)] ?? 0;
-	const expected = anticipateRates({
-		models: names, rateOf, urgentRateOf: rateOf, isPatient: () => false, step: this.demandStep.step,
+	const expected = forecastRates({
+		models: names, rateOf, urgentRateOf: rateOf, isLatencyTolerant: () => false, shift: this.demandStep.shift,
 	});
 	const busiest = names[rates.indexOf(Math.max(...rates))];
 	const [next] = [...expected].filter(([name]) => name !== busiest).toSorted(([, a], [, b]) => b - a);
@@ -186,7 +186,7 @@
 
 Given('an estimate that expects {int} requests a second for {string}', function (this: PlacementWorld, rate: number, model: string) {
 	this.estimate = new ModelDemandEstimate();
-	this.estimate.expect([[model, rate]]);
+	this.estimate.setExpectedRates([[model, rate]]);
 });
 
 When('the first requests come, for {string}', function (this: PlacementWorld, model: string) {
@@ -219,7 +219,7 @@
 		const move = planModelMove(planInput(engines, demand, wanted));
 		const target = engines.find(({id}) => id === move?.engine);
 		if (move && target) {
-			assert.ok(fits(spec, target, move.load, move.evict));
+			assert.ok(fitsInMemory(spec, target, move.load, move.evict));
 			assert.ok(target.isReady && target.loading === undefined);
 		}
 	}), {numRuns: 300, seed: 5});
@@ -231,11 +231,11 @@
 
 Given('{int} engines, one of which holds {string}, that begin an answer in {int} ms', function (this: SpeedWorld, count: number, model: string, headMs: number) {
 	const engines = Array.from({length: count}, (_, index) => engine(`${index}`, index === 0 ? [model] : [], {onDisk: copies}));
-	this.plan = {...planInput(engines, {}), headMsOf: () => headMs};
+	this.plan = {...planInput(engines, {}), timeToFirstByteMsOf: () => headMs};
 });
 
 When('{string} is asked for at {float} requests a second', function (this: SpeedWorld, model: string, rate: number) {
-	this.plan = {...planInput(this.plan.engines, {[model]: rate}), headMsOf: this.plan.headMsOf};
+	this.plan = {...planInput(this.plan.engines, {[model]: rate}), timeToFirstByteMsOf: this.plan.timeToFirstByteMsOf};
 });
 
 Then('another engine loads {string}: no', function (this: SpeedWorld, _model: string) {
@@ -276,7 +276,7 @@
 });
 
 When('{string} is waited for', function (this: SpeedWorld, model: string) {
-	this.plan = {...this.plan, wanted: [{model, waiting: 3}]};
+	this.plan = {...this.plan, pending: [{model, waiting: 3}]};
 });
 
 Then('{string} is not unloaded', function (this: SpeedWorld, model: string) {
--- a/packages/mastvalve-fleet/src/engines/engine-ledger.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-ledger.ts
@@ -9,7 +9,7 @@
 import type {EngineSpec} from '../configuration/served-service.js';
 import type {HeldModel} from '../state/fleet-endpoint.js';
 import {EngineOrderKind, type EngineOrder} from './engine-order.js';
-import {fits} from './engine-room.js';
+import {fitsInMemory} from './engine-memory.js';
 
 /** An adapter of a model. */
 export type AdapterName = {model: string; adapter: string};
@@ -22,15 +22,15 @@
 	/** Adapters that are in place or may be, by model; models that are missing here are as recorded. */
 	private readonly adapters = new Map<string, Set<string>>();
 	/** Adapters that are about to be loaded, each with the one that gives way. */
-	private readonly coming = new Map<string, AdapterName | undefined>();
+	private readonly plannedLoads = new Map<string, AdapterName | undefined>();
 	/** Models whose load was ordered, and of whose end no heartbeat has told. */
-	private readonly ordered = new Set<string>();
+	private readonly orderedLoads = new Set<string>();
 	/** Models that the engine itself has told to be gone, while the record still has them. */
-	private readonly toldGone = new Set<string>();
+	private readonly confirmedUnloads = new Set<string>();
 
 	/** Adapters on their way or about to be, as `model/adapter`. */
-	get comingAdapters(): string[] {
-		return [...this.coming.keys()];
+	get pendingAdapters(): string[] {
+		return [...this.plannedLoads.keys()];
 	}
 
 	/** Adapters by model, of the models that are known better here than in the record. */
@@ -39,21 +39,21 @@
 	}
 
 	/** What the engine holds for those who plan: without adapters that are about to give way, whose slots are promised. */
-	describe(recorded: readonly HeldModel[]): HeldModel[] {
-		const leaving = new Set([...this.coming.values()].flatMap(name => (name ? [formatAdapter(name)] : [])));
+	listHeldModels(recorded: readonly HeldModel[]): HeldModel[] {
+		const leaving = new Set([...this.plannedLoads.values()].flatMap(name => (name ? [formatAdapter(name)] : [])));
 		return recorded.map(held => ({
 			name: held.name, adapters: this.adaptersOf(held).filter(adapter => !leaving.has(formatAdapter({model: held.name, adapter}))),
 		}));
 	}
 
 	/** An adapter is to be loaded, perhaps in the place of another one. Neither has happened yet. */
-	plan(adapter: AdapterName, evicted: AdapterName | undefined): void {
-		this.coming.set(formatAdapter(adapter), evicted);
+	beginLoad(adapter: AdapterName, evicted: AdapterName | undefined): void {
+		this.plannedLoads.set(formatAdapter(adapter), evicted);
 	}
 
 	/** A plan has ended, whatever came of it. What was to give way and was not unloaded still counts. */
-	endPlan(adapter: AdapterName): void {
-		this.coming.delete(formatAdapter(adapter));
+	endLoad(adapter: AdapterName): void {
+		this.plannedLoads.delete(formatAdapter(adapter));
 	}
 
 	/** Whether an order fits beside all that is or may be there. Unloads always do. */
@@ -62,64 +62,64 @@
 			return true;
 		}
 
-		const possible = this.listPossible(recorded);
+		const possible = this.listPossiblyResident(recorded);
 		if (order.adapter !== undefined) {
 			return possible.reduce((sum, {adapters}) => sum + adapters.length, 0) < spec.adapterSlots;
 		}
 
-		return possible.some(({name}) => name === order.model) || fits(spec, {holds: possible, loading: undefined, loadingAdapters: []}, order.model);
+		return possible.some(({name}) => name === order.model) || fitsInMemory(spec, {holds: possible, loading: undefined, loadingAdapters: []}, order.model);
 	}
 
 	/** An order is about to be sent. From now on it may be carried out. */
-	noteSent({kind, model, adapter}: EngineOrder, recorded: readonly HeldModel[]): void {
+	recordSent({kind, model, adapter}: EngineOrder, recorded: readonly HeldModel[]): void {
 		if (kind === EngineOrderKind.Unload) {
 			return;
 		}
 
 		if (adapter !== undefined) {
-			this.setAdapters(model, recorded).add(adapter);
+			this.trackAdapters(model, recorded).add(adapter);
 			return;
 		}
 
-		const isThere = !this.toldGone.has(model) && recorded.some(({name}) => name === model);
+		const isThere = !this.confirmedUnloads.has(model) && recorded.some(({name}) => name === model);
 		if (!isThere) {
 			// What is loaded anew has no adapters, whatever the record still says.
 			this.adapters.set(model, new Set());
 		}
 
-		this.ordered.add(model);
-		this.toldGone.delete(model);
+		this.orderedLoads.add(model);
+		this.confirmedUnloads.delete(model);
 	}
 
 	/** The engine has refused an order of which no other copy is under way. */
-	noteRefused({kind, model, adapter}: EngineOrder): void {
+	recordRefusal({kind, model, adapter}: EngineOrder): void {
 		if (kind === EngineOrderKind.Load && adapter === undefined) {
-			this.ordered.delete(model);
+			this.orderedLoads.delete(model);
 		} else if (kind === EngineOrderKind.Load && adapter !== undefined) {
 			this.adapters.get(model)?.delete(adapter);
 		}
 	}
 
 	/** The engine has answered that an adapter is unloaded. */
-	noteUnloaded({model, adapter}: AdapterName, recorded: readonly HeldModel[]): void {
-		this.setAdapters(model, recorded).delete(adapter);
+	recordAdapterUnloaded({model, adapter}: AdapterName, recorded: readonly HeldModel[]): void {
+		this.trackAdapters(model, recorded).delete(adapter);
 	}
 
 	/** A heartbeat has told of the end of a load. */
-	noteLoaded(model: string): void {
-		this.ordered.delete(model);
+	recordLoaded(model: string): void {
+		this.orderedLoads.delete(model);
 	}
 
 	/** A model is gone: a heartbeat has told it, or the engine when it was asked. Its adapters went with it. */
-	noteGone(model: string): void {
+	recordUnloaded(model: string): void {
 		this.adapters.delete(model);
-		this.toldGone.add(model);
+		this.confirmedUnloads.add(model);
 	}
 
 	/** The engine's own status, newer than the last order, and the record say the same: this is all there is. */
-	settle(holds: readonly HeldModel[]): void {
-		this.ordered.clear();
-		this.toldGone.clear();
+	reconcile(holds: readonly HeldModel[]): void {
+		this.orderedLoads.clear();
+		this.confirmedUnloads.clear();
 		this.adapters.clear();
 		holds.forEach(({name, adapters}) => {
 			this.adapters.set(name, new Set(adapters));
@@ -127,9 +127,9 @@
 	}
 
 	/** The worst case. */
-	private listPossible(recorded: readonly HeldModel[]): HeldModel[] {
-		const there = recorded.filter(({name}) => !this.toldGone.has(name));
-		const more = [...this.ordered].filter(model => !there.some(({name}) => name === model));
+	private listPossiblyResident(recorded: readonly HeldModel[]): HeldModel[] {
+		const there = recorded.filter(({name}) => !this.confirmedUnloads.has(name));
+		const more = [...this.orderedLoads].filter(model => !there.some(({name}) => name === model));
 		return [...there, ...more.map((name): HeldModel => ({name, adapters: []}))].map(held => ({name: held.name, adapters: this.adaptersOf(held)}));
 	}
 
@@ -137,7 +137,7 @@
 		return [...(this.adapters.get(name) ?? adapters)];
 	}
 
-	private setAdapters(model: string, recorded: readonly HeldModel[]): Set<string> {
+	private trackAdapters(model: string, recorded: readonly HeldModel[]): Set<string> {
 		const known = this.adapters.get(model) ?? new Set(recorded.find(({name}) => name === model)?.adapters);
 		this.adapters.set(model, known);
 		return known;
--- a/packages/mastvalve-fleet/src/engines/engine-room.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-memory.ts
@@ -8,24 +8,24 @@
 import {WeightSource} from './weight-source.js';
 
 /** What is asked of a specification for every way to every load. */
-type SpecFacts = {models: ReadonlyMap<string, EngineModel>; adapterReserve: number};
+type SpecIndex = {models: ReadonlyMap<string, EngineModel>; adapterReserve: number};
 
-const knownFacts = new WeakMap<EngineSpec, SpecFacts>();
+const specIndexes = new WeakMap<EngineSpec, SpecIndex>();
 
-const factsOf = (spec: EngineSpec): SpecFacts => {
-	const facts = knownFacts.get(spec) ?? {
+const getSpecIndex = (spec: EngineSpec): SpecIndex => {
+	const facts = specIndexes.get(spec) ?? {
 		models: new Map(spec.models.map(model => [model.name, model])),
 		// Room that an engine keeps for adapters, MB: all its slots with the largest ones.
 		adapterReserve: spec.adapterSlots * Math.max(0, ...spec.models.map(model => model.adapterSize)),
 	};
-	knownFacts.set(spec, facts);
+	specIndexes.set(spec, facts);
 	return facts;
 };
 
 /** What of an engine's state takes room. */
-export type EngineContent = Pick<EngineState, 'holds' | 'loading' | 'loadingAdapters'>;
+export type MemoryContents = Pick<EngineState, 'holds' | 'loading' | 'loadingAdapters'>;
 
-const memoryOf = (models: ReadonlyMap<string, EngineModel>, engine: EngineContent): number => {
+const computeUsedMemory = (models: ReadonlyMap<string, EngineModel>, engine: MemoryContents): number => {
 	const held = engine.holds.reduce((sum, {name, adapters}) => {
 		const model = models.get(name);
 		return sum + (model?.size ?? 0) + (adapters.length * (model?.adapterSize ?? 0));
@@ -36,23 +36,23 @@
 };
 
 /** Memory that is left beside all that an engine holds or was ordered to load, MB; `without` is a model that gives way. */
-export const roomIn = (spec: EngineSpec, engine: EngineContent, without?: string): number => {
-	const {models, adapterReserve} = factsOf(spec);
+export const computeFreeMemory = (spec: EngineSpec, engine: MemoryContents, without?: string): number => {
+	const {models, adapterReserve} = getSpecIndex(spec);
 	const remaining = without === undefined ? engine : {...engine, holds: engine.holds.filter(({name}) => name !== without)};
-	return spec.weightCapacity - adapterReserve - memoryOf(models, remaining);
+	return spec.weightCapacity - adapterReserve - computeUsedMemory(models, remaining);
 };
 
 const msPerSecond = 1000;
 
 /** How long a load takes, s. */
-export const loadSeconds = (spec: EngineSpec, model: string, source: WeightSource): number => {
-	const known = factsOf(spec).models.get(model);
+export const getLoadSeconds = (spec: EngineSpec, model: string, source: WeightSource): number => {
+	const known = getSpecIndex(spec).models.get(model);
 	const times: Record<WeightSource, number> = {[WeightSource.Memory]: known?.memoryLoadMs ?? 0, [WeightSource.Disk]: known?.diskLoadMs ?? 0, [WeightSource.Store]: known?.storeLoadMs ?? 0};
 	return times[source] / msPerSecond;
 };
 
 /** What a model's weights take, MB. */
-export const sizeOf = (spec: EngineSpec, model: string): number => factsOf(spec).models.get(model)?.size ?? Number.POSITIVE_INFINITY;
+export const getModelSize = (spec: EngineSpec, model: string): number => getSpecIndex(spec).models.get(model)?.size ?? Number.POSITIVE_INFINITY;
 
 /** Whether a model fits beside all that an engine holds or was ordered to load. */
-export const fits = (spec: EngineSpec, engine: EngineContent, model: string, without?: string): boolean => sizeOf(spec, model) <= roomIn(spec, engine, without);
+export const fitsInMemory = (spec: EngineSpec, engine: MemoryContents, model: string, without?: string): boolean => getModelSize(spec, model) <= computeFreeMemory(spec, engine, without);
--- a/packages/mastvalve-fleet/src/engines/engine-state.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-state.ts
@@ -14,7 +14,7 @@
 	 * An order that nobody follows may still be carried out. The next order must be one that needs no room: an unload; once
 	 * it is taken, the other one is void.
 	 */
-	hasLateOrder: boolean;
+	hasUnresolvedOrder: boolean;
 	/** Models in accelerator memory. */
 	holds: HeldModel[];
 	/** A model whose load was ordered. */
--- a/packages/mastvalve-fleet/src/engines/engine-use.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-utilization.ts
@@ -6,12 +6,12 @@
 import type {EngineState} from './engine-state.js';
 
 /** What it is worked out from. */
-export type EngineUseInput = {
+export type EngineUtilizationInput = {
 	engines: readonly EngineState[];
 	/** Requests a second. */
 	rateOf: (model: string) => number;
 	/** Time in which an engine without a queue begins an answer with a model, ms: mostly the reading of the prompt. */
-	headMsOf: (model: string) => number;
+	timeToFirstByteMsOf: (model: string) => number;
 };
 
 /** A model that takes less of an engine's time than this doesn't get another engine because of the others there. */
@@ -31,7 +31,7 @@
 };
 
 /** The use of all engines. */
-export class EngineUse {
+export class EngineUtilization {
 	/** Engines that hold a model, by model. */
 	private readonly present: Map<string, number>;
 	/** The same with those to which it is on its way. */
@@ -44,7 +44,7 @@
 	/** Mean of that over the engines that hold a model, by model. */
 	private readonly usedByHolders: Map<string, number>;
 
-	constructor(private readonly input: EngineUseInput) {
+	constructor(private readonly input: EngineUtilizationInput) {
 		const {engines} = input;
 		const held = engines.flatMap(({holds, retiring}) => holds.map(({name}) => name).filter(name => name !== retiring));
 		this.present = countBy(held);
@@ -62,22 +62,22 @@
 	}
 
 	/** How many engines hold a model now; one that is on its way serves nobody yet. */
-	countPresent(model: string): number {
+	countResident(model: string): number {
 		return this.present.get(model) ?? 0;
 	}
 
 	/** Whether requests for a model find an engine that takes as many as it has time for, or will soon. */
-	isOpen(model: string): boolean {
+	hasUnlimitedHolder(model: string): boolean {
 		return this.open.has(model);
 	}
 
 	/** Part of its time that an engine spends on all requests. */
-	usedShare(engine: EngineState): number {
+	utilizationOf(engine: EngineState): number {
 		return this.used.get(engine.id) ?? 0;
 	}
 
 	/** How much of their time the engines of a model spend: on its own requests, and on those of the models beside it if it has a part in that. */
-	pressureOn(model: string, rate: number): number {
+	utilizationOfHolders(model: string, rate: number): number {
 		const own = this.shareOf(model, rate);
 		if (own < minOwnShare) {
 			return own;
@@ -92,7 +92,7 @@
 		this.input.engines.forEach(engine => {
 			engine.holds.forEach(({name}) => {
 				const {used, engines} = sums.get(name) ?? {used: 0, engines: 0};
-				sums.set(name, {used: used + this.usedShare(engine), engines: engines + 1});
+				sums.set(name, {used: used + this.utilizationOf(engine), engines: engines + 1});
 			});
 		});
 		return new Map([...sums].map(([model, {used, engines}]) => [model, used / engines]));
@@ -100,12 +100,12 @@
 
 	/** Part of its time that an engine spends on the requests of one of the models that it holds. */
 	private shareOf(model: string, rate: number): number {
-		return rate * this.input.headMsOf(model) / msPerSecond / (this.capacities.get(model) ?? 1);
+		return rate * this.input.timeToFirstByteMsOf(model) / msPerSecond / (this.capacities.get(model) ?? 1);
 	}
 
 	/** The part of its time that an engine gives to a model: all of it, or what its limit comes to. */
 	private shareOfLimit(model: string, limitPerSecond: number | undefined): number {
-		return limitPerSecond === undefined ? 1 : Math.min(1, limitPerSecond * this.input.headMsOf(model) / msPerSecond);
+		return limitPerSecond === undefined ? 1 : Math.min(1, limitPerSecond * this.input.timeToFirstByteMsOf(model) / msPerSecond);
 	}
 
 	private sumShares({holds, retiring}: EngineState): number {
--- a/packages/mastvalve-fleet/src/engines/load-ways.ts
+++ b/packages/mastvalve-fleet/src/engines/list-load-options.ts
@@ -5,8 +5,8 @@
  * since each load looks at all of them.
  */
 
-import {loadSeconds, roomIn, sizeOf} from './engine-room.js';
-import {EngineUse} from './engine-use.js';
+import {getLoadSeconds, computeFreeMemory, getModelSize} from './engine-memory.js';
+import {EngineUtilization} from './engine-utilization.js';
 import type {EngineState} from './engine-state.js';
 import type {ModelMove} from './model-move.js';
 import type {ModelPlanInput} from './model-plan-input.js';
@@ -14,7 +14,7 @@
 
 /** What is worked out once for a plan. */
 type PlanFacts = ModelPlanInput & {
-	use: EngineUse;
+	use: EngineUtilization;
 	/** Models with adapters. */
 	withAdapters: ReadonlySet<string>;
 };
@@ -40,14 +40,14 @@
 
 /** How much a place is worth to a model: its demand, of now or soon, for each of its engines. */
 const worthOfPlace = (input: PlanFacts, model: string): number => {
-	const holders = Math.max(1, input.use.countPresent(model));
+	const holders = Math.max(1, input.use.countResident(model));
 	const rate = input.expectedRateOf(model);
 	if (holders > 1) {
 		return rate / holders;
 	}
 
 	// The last place of a model that is still asked for, or soon will be, is worth more than any second one.
-	return rate + (input.idleOf(model) < idleAfterMs ? askedWorth : 0) + (input.urgentIdleOf(model) < idleAfterMs ? urgentWorth : 0);
+	return rate + (input.idleMsOf(model) < idleAfterMs ? askedWorth : 0) + (input.urgentIdleMsOf(model) < idleAfterMs ? urgentWorth : 0);
 };
 
 /** Cost of each request a second for adapters of an engine that takes no orders for the time of a load from the store. */
@@ -67,10 +67,10 @@
 
 const listPlaces = (input: PlanFacts, engine: EngineState): Place[] => [
 	// An order that may still come late could take the free place.
-	...(engine.hasLateOrder ? [] : [{evict: undefined, evictedWorth: 0, room: roomIn(input.spec, engine)}]),
+	...(engine.hasUnresolvedOrder ? [] : [{evict: undefined, evictedWorth: 0, room: computeFreeMemory(input.spec, engine)}]),
 	...engine.holds
-		.filter(({name}) => input.heldFor(engine.id, name) > minServeMs)
-		.map(({name}) => ({evict: name, evictedWorth: worthOfPlace(input, name), room: roomIn(input.spec, engine, name)})),
+		.filter(({name}) => input.residencyMsOf(engine.id, name) > minServeMs)
+		.map(({name}) => ({evict: name, evictedWorth: worthOfPlace(input, name), room: computeFreeMemory(input.spec, engine, name)})),
 ];
 
 const listTakers = (input: PlanFacts): Taker[] =>
@@ -79,14 +79,14 @@
 		held: new Set(engine.holds.map(({name}) => name)),
 		places: listPlaces(input, engine),
 		// An engine that takes few requests would bring a model little more room than none.
-		usedCost: (engine.limitPerSecond === undefined ? input.use.usedShare(engine) : 1) * usedEngineCost,
+		usedCost: (engine.limitPerSecond === undefined ? input.use.utilizationOf(engine) : 1) * usedEngineCost,
 		storeCost: adapterDemand(input, engine) * blockedAdapterCost,
 	}));
 
 /** Works out once what each load of a plan asks for. */
 export const preparePlanning = (given: ModelPlanInput): Planning => {
 	const withAdapters = new Set(given.spec.models.filter(({adapterCount}) => adapterCount > 0).map(({name}) => name));
-	const facts = {...given, use: new EngineUse(given), withAdapters};
+	const facts = {...given, use: new EngineUtilization(given), withAdapters};
 	return {...facts, takers: listTakers(facts)};
 };
 
@@ -103,17 +103,17 @@
  * models would be fetched from the store although a free engine has their weights near.
  */
 export const listWays = (input: Planning, load: string, need: number): LoadWay[] => {
-	const size = sizeOf(input.spec, load);
+	const size = getModelSize(input.spec, load);
 	const lostPerSecond = Math.max(leastNeed, need);
 	return input.takers
 		.filter(({held}) => !held.has(load))
 		.flatMap(({engine, places, usedCost, storeCost}): LoadWay[] => {
 			const source = findSource(engine, load);
-			if (source === WeightSource.Store && input.storeLoads <= 0) {
+			if (source === WeightSource.Store && input.availableStoreLoads <= 0) {
 				return [];
 			}
 
-			const loadCost = (loadSeconds(input.spec, load, source) * lostPerSecond) + usedCost + (source === WeightSource.Store ? storeCost : 0);
+			const loadCost = (getLoadSeconds(input.spec, load, source) * lostPerSecond) + usedCost + (source === WeightSource.Store ? storeCost : 0);
 			const fitting = places.filter(({room}) => size <= room);
 			const free = fitting.find(({evict}) => evict === undefined);
 			return (free ? [free] : fitting).map(({evict, evictedWorth}) => ({
--- a/packages/mastvalve-fleet/src/engines/model-demand-estimate.ts
+++ b/packages/mastvalve-fleet/src/engines/model-demand-estimate.ts
@@ -3,17 +3,17 @@
  */
 
 /** Time after which an unrepeated request counts for a third, ms. Demand moves along the list of models in 5 to 6 s. */
-const fadeMs = 4000;
+const decayMs = 4000;
 const msPerSecond = 1000;
 
-type Faded = {amount: number; at: number; lastAt: number};
+type DecayedCount = {amount: number; at: number; lastAt: number};
 
 /** The estimate. */
 export class ModelDemandEstimate {
-	private readonly models = new Map<string, Faded>();
+	private readonly models = new Map<string, DecayedCount>();
 	private expected = new Map<string, number>();
 	/** When the first request came, ms. */
-	private firstAt: number | undefined;
+	private firstRecordedAt: number | undefined;
 
 	/** Whether anything was ever asked for. */
 	get isEmpty(): boolean {
@@ -21,39 +21,39 @@
 	}
 
 	/** What is expected before the first request, in requests a second; it fades from then on. */
-	expect(rates: ReadonlyArray<[string, number]>): void {
+	setExpectedRates(rates: ReadonlyArray<[string, number]>): void {
 		this.expected = new Map(rates);
 	}
 
 	/** Whether a model was ever asked for. */
-	knows(model: string): boolean {
+	hasRecorded(model: string): boolean {
 		return this.models.has(model);
 	}
 
 	/** Counts requests for a model. */
 	record(model: string, requests: number, now: number): void {
-		this.firstAt ??= now;
-		this.models.set(model, {amount: this.fade(model, now) + requests, at: now, lastAt: now});
+		this.firstRecordedAt ??= now;
+		this.models.set(model, {amount: this.decayedCountOf(model, now) + requests, at: now, lastAt: now});
 	}
 
 	/** Requests a second: as they come, or as they were expected before the first one. */
 	rateOf(model: string, now: number): number {
-		const expected = (this.expected.get(model) ?? 0) * Math.exp(-(now - (this.firstAt ?? now)) / fadeMs);
-		return Math.max(expected, this.shownRateOf(model, now));
+		const expected = (this.expected.get(model) ?? 0) * Math.exp(-(now - (this.firstRecordedAt ?? now)) / decayMs);
+		return Math.max(expected, this.observedRateOf(model, now));
 	}
 
 	/** Requests a second that callers have made, without what was only expected before the first one. */
-	shownRateOf(model: string, now: number): number {
-		return this.fade(model, now) / (fadeMs / msPerSecond);
+	observedRateOf(model: string, now: number): number {
+		return this.decayedCountOf(model, now) / (decayMs / msPerSecond);
 	}
 
 	/** Time since the last request, ms. */
-	idleOf(model: string, now: number): number {
+	idleMsOf(model: string, now: number): number {
 		return now - (this.models.get(model)?.lastAt ?? Number.NEGATIVE_INFINITY);
 	}
 
-	private fade(model: string, now: number): number {
+	private decayedCountOf(model: string, now: number): number {
 		const known = this.models.get(model);
-		return known ? known.amount * Math.exp(-(now - known.at) / fadeMs) : 0;
+		return known ? known.amount * Math.exp(-(now - known.at) / decayMs) : 0;
 	}
 }
--- a/packages/mastvalve-fleet/src/engines/plan-adapter.ts
+++ b/packages/mastvalve-fleet/src/engines/plan-adapter-move.ts
@@ -21,7 +21,7 @@
 	model: string;
 	adapter: string;
 	/** Time since an adapter was last asked for, as `model/adapter`, ms. */
-	idleOf: (name: string) => number;
+	idleMsOf: (name: string) => number;
 };
 
 /** What prefetching rests on. */
@@ -33,7 +33,7 @@
 };
 
 /** Adapters that may be on their way to one engine. */
-const maxInTransit = 4;
+const maxPendingLoads = 4;
 
 const countAdapters = (engine: EngineState): number =>
 	engine.loadingAdapters.length + engine.holds.reduce((sum, {adapters}) => sum + adapters.length, 0);
@@ -44,7 +44,7 @@
 		.toSorted((a, b) => b.idleMs - a.idleMs)[0];
 
 /** The move, or undefined when no engine can take the adapter now, or one has it already. */
-export const planAdapterMove = ({spec, engines, model, adapter, idleOf}: AdapterPlanInput): AdapterMove | undefined => {
+export const planAdapterMove = ({spec, engines, model, adapter, idleMsOf: idleOf}: AdapterPlanInput): AdapterMove | undefined => {
 	const holders = engines.filter(engine => engine.holds.some(({name}) => name === model) && engine.retiring !== model);
 	// An engine takes no order while it loads or unloads a model.
 	const free = holders.filter(engine => engine.isReady && engine.loading === undefined && engine.retiring === undefined);
@@ -55,9 +55,9 @@
 	}
 
 	const takers = free
-		.filter(engine => engine.loadingAdapters.length < maxInTransit)
+		.filter(engine => engine.loadingAdapters.length < maxPendingLoads)
 		.map(engine => {
-			const isFull = countAdapters(engine) >= spec.adapterSlots || engine.hasLateOrder;
+			const isFull = countAdapters(engine) >= spec.adapterSlots || engine.hasUnresolvedOrder;
 			const idlest = isFull ? findIdlest(engine, idleOf) : undefined;
 			return {
 				engine, idlest, isFull, order: isFull ? 1_000_000 - (idlest?.idleMs ?? 0) : countAdapters(engine),
@@ -81,7 +81,7 @@
 /** An adapter to load into a free slot before anybody waits for it: of the most expected model first. Nothing gives way. */
 export const planAdapterPrefetch = ({spec, engines, expectedRateOf}: AdapterPrefetchInput): AdapterMove | undefined => {
 	const takers = engines.filter(engine =>
-		engine.isReady && !engine.hasLateOrder && engine.loading === undefined && engine.retiring === undefined && engine.loadingAdapters.length < maxInTransit && countAdapters(engine) < spec.adapterSlots);
+		engine.isReady && !engine.hasUnresolvedOrder && engine.loading === undefined && engine.retiring === undefined && engine.loadingAdapters.length < maxPendingLoads && countAdapters(engine) < spec.adapterSlots);
 	const placed = listPlaced(engines);
 	const models = spec.models
 		.filter(({name, adapterCount}) => adapterCount > 0 && expectedRateOf(name) > 0)
--- a/packages/mastvalve-fleet/src/engines/plan-models.ts
+++ b/packages/mastvalve-fleet/src/engines/plan-model-move.ts
@@ -9,9 +9,9 @@
 import type {EngineState} from './engine-state.js';
 import {
 	idleAfterMs, listWays, preparePlanning, type LoadWay, type Planning,
-} from './load-ways.js';
+} from './list-load-options.js';
 import type {ModelMove} from './model-move.js';
-import type {ModelPlanInput, WantedModel} from './model-plan-input.js';
+import type {ModelPlanInput, PendingModel} from './model-plan-input.js';
 import {findSource, WeightSource} from './weight-source.js';
 
 /** An additional engine must be wanted by this factor more than what gives way, so that models don't take turns. */
@@ -60,13 +60,13 @@
 type Proposal = {worth: number; listWays: () => LoadWay[]};
 
 /** What a load is worth to those who wait for it, and to those who will come. */
-const worthOfLoad = (input: Planning, {model, waiting}: WantedModel): number =>
-	(input.rateOf(model) * demandHorizonS) + (waiting * (input.urgentIdleOf(model) < idleAfterMs ? urgentWaitingShare : 1));
+const worthOfLoad = (input: Planning, {model, waiting}: PendingModel): number =>
+	(input.rateOf(model) * demandHorizonS) + (waiting * (input.urgentIdleMsOf(model) < idleAfterMs ? urgentWaitingShare : 1));
 
 /** Loads for requests that wait. What gives way may not be worth much more than what comes. */
 const proposeForWaiting = (input: Planning): Proposal[] =>
-	input.wanted
-		.filter(({model}) => !input.use.isOpen(model))
+	input.pending
+		.filter(({model}) => !input.use.hasUnlimitedHolder(model))
 		.map(wanted => {
 			const worth = worthOfLoad(input, wanted);
 			return {worth, listWays: () => listWaysForWaiting(input, wanted.model, worth).filter(way => way.evictedWorth < worth * maxEvictedFactor)};
@@ -74,24 +74,24 @@
 
 /** What one more engine is worth to a model: the requests that are too many for those that hold it, now or, by half, soon. */
 const worthOfEngine = (input: Planning, model: string): number => {
-	const overload = (rate: number): number => rate * Math.max(0, 1 - (comfortableShare / input.use.pressureOn(model, rate)));
+	const overload = (rate: number): number => rate * Math.max(0, 1 - (comfortableShare / input.use.utilizationOfHolders(model, rate)));
 	return (overload(input.rateOf(model)) + overload(input.expectedRateOf(model))) / 2 * demandHorizonS;
 };
 
 /** How much of their time the engines of a model spend on it at a rate; a model that nobody holds counts more. */
 const pressureAt = ({use}: Planning, model: string, rate: number): number =>
-	use.pressureOn(model, rate * (use.countHolders(model) === 0 ? absentFactor : 1));
+	use.utilizationOfHolders(model, rate * (use.countHolders(model) === 0 ? absentFactor : 1));
 
 /**
  * Whether a way takes nothing from a resident model for the sake of a guess. Engines hold at the start what they were used
  * for before; that is evidence, and what is supposed before the first request isn't. A guess that takes
  * places at full engines leaves most models nowhere before the first request, and their first callers wait for loads.
  */
-const sparesResident = ({use}: Planning, {evict}: LoadWay): boolean => evict === undefined || use.countPresent(evict) > 1;
+const sparesResident = ({use}: Planning, {evict}: LoadWay): boolean => evict === undefined || use.countResident(evict) > 1;
 
 /** Loads that give a model with much demand one more engine. */
 const proposeForDemand = (input: Planning): Proposal[] => {
-	const mayUseStore = input.wanted.length === 0 || countStoreLoads(input.engines) < Math.max(1, Math.floor(input.engines.length * maxBusyShare));
+	const mayUseStore = input.pending.length === 0 || countStoreLoads(input.engines) < Math.max(1, Math.floor(input.engines.length * maxBusyShare));
 	return input.spec.models
 		.map(({name}) => ({name, pressure: pressureAt(input, name, input.expectedRateOf(name))}))
 		.filter(({pressure}) => pressure > comfortableShare)
@@ -99,7 +99,7 @@
 			const holders = input.use.countHolders(name);
 			const load = input.expectedRateOf(name) * (holders === 0 ? absentFactor : 1) / Math.max(1, holders);
 			const worth = worthOfEngine(input, name);
-			const isShown = pressureAt(input, name, input.shownRateOf(name)) > comfortableShare;
+			const isShown = pressureAt(input, name, input.observedRateOf(name)) > comfortableShare;
 			const mayFetch = mayUseStore && pressure > comfortableShare * storeFactor;
 			return {
 				worth,
--- a/packages/mastvalve-fleet/src/engines/store-rate.ts
+++ b/packages/mastvalve-fleet/src/engines/store-load-limiter.ts
@@ -4,21 +4,21 @@
  */
 
 /** Bounds of the store. */
-export type StoreBounds = {windowMs: number; loadsPerSecond: number};
+export type StoreLoadLimits = {windowMs: number; loadsPerSecond: number};
 
 /** A load that was decided on. */
 type StoreLoad = {at: number; hasBegun: boolean};
 
 const msPerSecond = 1000;
 /** Loads that began longer ago count in no window, ms; windows are of some seconds. */
-const keepMs = 60_000;
+const retentionMs = 60_000;
 
 /** The rate. */
-export class StoreRate {
+export class StoreLoadLimiter {
 	private loads: StoreLoad[] = [];
 
 	/** A load is ordered; the result is to be called when it is known to have begun, with the latest time for that, ms. */
-	order(): (at: number) => void {
+	reserve(): (at: number) => void {
 		const load = {at: 0, hasBegun: false};
 		this.loads.push(load);
 		return at => {
@@ -28,14 +28,14 @@
 	}
 
 	/** A load has begun at that time at the latest, ms. */
-	record(at: number): void {
-		this.loads = this.loads.filter(load => !load.hasBegun || at - load.at < keepMs);
-		this.order()(at);
+	recordStart(at: number): void {
+		this.loads = this.loads.filter(load => !load.hasBegun || at - load.at < retentionMs);
+		this.reserve()(at);
 	}
 
 	/** How many may begin now. */
-	available({windowMs, loadsPerSecond}: StoreBounds, now: number): number {
-		this.loads = this.loads.filter(load => !load.hasBegun || now - load.at < keepMs);
+	countAvailable({windowMs, loadsPerSecond}: StoreLoadLimits, now: number): number {
+		this.loads = this.loads.filter(load => !load.hasBegun || now - load.at < retentionMs);
 		const counted = this.loads.filter(load => !load.hasBegun || now - load.at < windowMs);
 		return Math.floor(loadsPerSecond * windowMs / msPerSecond) - counted.length;
 	}
