--- a/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
@@ -127,7 +127,7 @@
 		const urgency = index % 10 === 0 ? 0 : 1;
 		const handle = waiters.add(urgency, () => {
 			this.looked.push(urgency);
-			handle.end();
+			handle.remove();
 		});
 		return handle;
 	});
@@ -136,7 +136,7 @@
 When('they all expect it after {int} ms', async function (this: BackoffWorld, ms: number) {
 	const at = systemClock.now() + ms;
 	this.waiting.forEach(handle => {
-		handle.lookAt(at);
+		handle.scheduleRecheck(at);
 	});
 	await waitFor(ms * 3);
 });
--- a/packages/mastvalve-gateway/src/access/admit-caller.ts
+++ b/packages/mastvalve-gateway/src/access/admit-caller.ts
@@ -8,7 +8,7 @@
 } from 'mastvalve-access';
 import type {Route} from 'mastvalve-fleet';
 import type {CallerHeaders} from '../dialect.js';
-import type {OwnAnswer, Reply} from '../requests/reply.js';
+import type {ProblemAnswer, Reply} from '../requests/reply.js';
 import type {GatewayCore} from '../server/gateway-core.js';
 import {isGranted} from './access-checker.js';
 
@@ -29,7 +29,7 @@
 export type AdmissionInput = {requestId: string; route: Route; caller: CallerHeaders; key: PresentedKey};
 
 /** What a caller is told whose key does not let it in. */
-export const keyRefusals: Record<AccessKind.Unknown | AccessKind.Unsure, OwnAnswer> = {
+export const keyRefusals: Record<AccessKind.Unknown | AccessKind.Unsure, ProblemAnswer> = {
 	[AccessKind.Unknown]: {status: 401, code: 'key-unknown', message: 'No workspace holds the key of this request. Nothing was run.'},
 	[AccessKind.Unsure]: {
 		status: 503, code: 'keys-unsure', message: 'This entry can\'t tell at this moment which keys are valid. Nothing was run.', retryAfterSeconds: unsureRetrySeconds,
--- a/packages/mastvalve-gateway/src/endpoint-headers.ts
+++ b/packages/mastvalve-gateway/src/endpoint-headers.ts
@@ -4,14 +4,14 @@
  */
 
 import {FieldOwner, type Dialect, type EndpointHeaders} from './dialect.js';
-import {dropConnectionHeaders} from './requests/reply.js';
+import {removeHopByHopHeaders} from './requests/reply.js';
 
 /** Whether keys are asked for, so that credentials are secrets between callers and entries. */
 export type CredentialUse = {needsKeys: boolean};
 
 /** A flat list of names and values. Fields that the dialect doesn't name are the caller's. */
 export const createEndpointHeaders = (dialect: Dialect, rawHeaders: readonly string[], added: EndpointHeaders, {needsKeys}: CredentialUse): string[] => {
-	const passed = dropConnectionHeaders(rawHeaders);
+	const passed = removeHopByHopHeaders(rawHeaders);
 	const isPassed = (name: string): boolean => {
 		const owner = dialect.fieldOwners.get(name.toLowerCase()) ?? FieldOwner.Caller;
 		return owner === FieldOwner.Caller || (owner === FieldOwner.Credentials && !needsKeys);
--- a/packages/mastvalve-gateway/src/index.ts
+++ b/packages/mastvalve-gateway/src/index.ts
@@ -19,7 +19,7 @@
 export * from './quarantine/request-quarantine.js';
 export * from './requests/caller-request.js';
 export * from './requests/capacity-waiters.js';
-export {dropConnectionHeaders} from './requests/reply.js';
+export {removeHopByHopHeaders as dropConnectionHeaders} from './requests/reply.js';
 export * from './routing/choose-endpoint.js';
 export * from './routing/endpoint-board.js';
 export * from './routing/forget-ended.js';
--- a/packages/mastvalve-gateway/src/requests/capacity-waiters.ts
+++ b/packages/mastvalve-gateway/src/requests/capacity-waiters.ts
@@ -6,16 +6,16 @@
 import type {Clock} from 'mastvalve-utils';
 
 /** Timers may come a part of a millisecond before their time; a request that asks for its turn too early would get none, ms. */
-const earlyTimerMs = 1;
+const timerSlackMs = 1;
 
-type Waiter = {urgency: number; look: () => void; lookAt: number};
+type Waiter = {urgency: number; recheck: () => void; recheckAt: number};
 
 /** A request that waits. */
 export type WaiterHandle = {
 	/** Looks again at a moment, monotonic ms. */
-	lookAt: (at: number) => void;
+	scheduleRecheck: (at: number) => void;
 	/** Waits no more. */
-	end: () => void;
+	remove: () => void;
 };
 
 /** The waiting requests. */
@@ -27,15 +27,15 @@
 	constructor(private readonly clock: Pick<Clock, 'now'>) {}
 
 	/** A request begins to wait; 0 is the most urgent. */
-	add(urgency: number, look: () => void): WaiterHandle {
-		const waiter: Waiter = {urgency, look, lookAt: Number.POSITIVE_INFINITY};
+	add(urgency: number, recheck: () => void): WaiterHandle {
+		const waiter: Waiter = {urgency, recheck: recheck, recheckAt: Number.POSITIVE_INFINITY};
 		this.waiters.add(waiter);
 		return {
-			lookAt: at => {
-				waiter.lookAt = at;
-				this.schedule(at);
+			scheduleRecheck: at => {
+				waiter.recheckAt = at;
+				this.scheduleTimer(at);
 			},
-			end: () => {
+			remove: () => {
 				this.waiters.delete(waiter);
 			},
 		};
@@ -49,12 +49,12 @@
 	private wake(isDue: (waiter: Waiter) => boolean): void {
 		[...this.waiters].filter(waiter => isDue(waiter)).toSorted((a, b) => a.urgency - b.urgency).forEach(waiter => {
 			if (this.waiters.has(waiter)) {
-				waiter.look();
+				waiter.recheck();
 			}
 		});
 	}
 
-	private schedule(at: number): void {
+	private scheduleTimer(at: number): void {
 		if (at >= this.timerAt) {
 			return;
 		}
@@ -63,16 +63,16 @@
 		this.timerAt = at;
 		this.timer = setTimeout(() => {
 			this.wakeDue();
-		}, Math.max(0, Math.ceil(at - this.clock.now()) + earlyTimerMs));
+		}, Math.max(0, Math.ceil(at - this.clock.now()) + timerSlackMs));
 	}
 
 	private wakeDue(): void {
 		const now = this.clock.now();
 		this.timerAt = Number.POSITIVE_INFINITY;
-		this.wake(({lookAt}) => lookAt <= now);
-		const next = Math.min(...[...this.waiters].map(({lookAt}) => lookAt));
+		this.wake(({recheckAt: lookAt}) => lookAt <= now);
+		const next = Math.min(...[...this.waiters].map(({recheckAt: lookAt}) => lookAt));
 		if (Number.isFinite(next)) {
-			this.schedule(next);
+			this.scheduleTimer(next);
 		}
 	}
 }
--- a/packages/mastvalve-gateway/src/requests/claim-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/claim-endpoint.ts
@@ -7,14 +7,14 @@
 import type {AccountMoment} from 'mastvalve-limits';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
-import {hasUnlimitedNow, listLimitedNow} from './choose-now.js';
-import {remainingWaitMs, type NoEndpoint} from './wait-budget.js';
-import type {Progress} from './progress.js';
+import {hasUnlimitedCandidate, listLimitedCandidates} from './select-endpoint.js';
+import {computeRemainingWaitMs, type NoEndpoint} from './wait-budget.js';
+import type {RequestProgress} from './request-progress.js';
 import {rankRequest} from './rank-request.js';
 import {waitForEndpoint} from './wait-for-endpoint.js';
 
 /** Time in which a claim is answered, ms; a turn that is granted at the last moment would be over when the answer is here. */
-const claimMs = 50;
+const claimReplyMs = 50;
 
 /** An endpoint that may get the request now. */
 export type ClaimedEndpoint = {
@@ -24,7 +24,7 @@
 };
 
 /** Gives up the turn that a request waits for. */
-export const releaseReservation = (core: GatewayCore, progress: Progress): void => {
+export const releaseReservation = (core: GatewayCore, progress: RequestProgress): void => {
 	if (progress.reservation !== undefined) {
 		core.limiter.release(progress.reservation);
 		progress.reservation = undefined;
@@ -32,9 +32,9 @@
 };
 
 /** Claims a permit; undefined when the request has to wait for its turn, or there is none in time. */
-const claimPermit = async (core: GatewayCore, request: CallerRequest, progress: Progress): Promise<ClaimedEndpoint | undefined> => {
-	const limited = listLimitedNow(core, request, progress);
-	const maxWaitMs = hasUnlimitedNow(core, request, progress) ? 0 : Math.max(0, remainingWaitMs(core, request) - claimMs);
+const claimPermit = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<ClaimedEndpoint | undefined> => {
+	const limited = listLimitedCandidates(core, request, progress);
+	const maxWaitMs = hasUnlimitedCandidate(core, request, progress) ? 0 : Math.max(0, computeRemainingWaitMs(core, request) - claimReplyMs);
 	// The limit is on what all entries send together: one that only minds its own requests can't keep to it.
 	const {endpoint: granted, waitMs, reservation, grantedAt} = await core.limiter.claim(limited, {urgency: rankRequest(core, request), maxWaitMs, reservation: progress.reservation});
 	progress.reservation = reservation;
@@ -46,13 +46,13 @@
 
 	const askAgainAt = core.clock.now() + waitMs;
 	limited.forEach(({id}) => {
-		progress.askAgainAt.set(id, askAgainAt);
+		progress.permitRetryAt.set(id, askAgainAt);
 	});
 	return undefined;
 };
 
 /** Finds an endpoint, or says why there is none. */
-export const claimEndpoint = async (core: GatewayCore, request: CallerRequest, progress: Progress): Promise<ClaimedEndpoint | NoEndpoint> => {
+export const claimEndpoint = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<ClaimedEndpoint | NoEndpoint> => {
 	let found = await waitForEndpoint(core, request, progress);
 	while (!('reason' in found) && core.limiter.limitOf(found) !== undefined) {
 		// One claim after the other.
--- a/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
@@ -8,15 +8,15 @@
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
 import {claimEndpoint, type ClaimedEndpoint} from './claim-endpoint.js';
-import {giveUp, giveUpKey, refuseQuarantined} from './give-up.js';
-import type {Progress} from './progress.js';
+import {failRequest, rejectKey, rejectQuarantined} from './fail-request.js';
+import type {RequestProgress} from './request-progress.js';
 import type {Reply} from './reply.js';
 
 /** An attempt that may be made at once, and counts at its endpoint already. */
 export type PreparedAttempt = ClaimedEndpoint & {workspace: Workspace | undefined; use: EndpointUse};
 
 /** An endpoint that was chosen may have asked for backoff or begun to leave since then, or others may have used its capacity. */
-const claimOpenEndpoint = async (core: GatewayCore, request: CallerRequest, progress: Progress): Promise<Awaited<ReturnType<typeof claimEndpoint>>> => {
+const claimAdmittingEndpoint = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<Awaited<ReturnType<typeof claimEndpoint>>> => {
 	let claimed = await claimEndpoint(core, request, progress);
 	while (!('reason' in claimed) && !core.board.admits(claimed.endpoint.id)) {
 		core.limiter.giveBack(claimed.endpoint, claimed.grantedAt);
@@ -29,9 +29,9 @@
 };
 
 /** Prepares an attempt; undefined when the request is over. */
-export const prepareAttempt = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: Progress): Promise<PreparedAttempt | undefined> => {
-	const claimed = await claimOpenEndpoint(core, request, progress);
-	const workspace = judgeAttempt(core, request, reply, progress, claimed);
+export const prepareAttempt = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress): Promise<PreparedAttempt | undefined> => {
+	const claimed = await claimAdmittingEndpoint(core, request, progress);
+	const workspace = checkAttempt(core, request, reply, progress, claimed);
 	if ('reason' in claimed) {
 		return undefined;
 	}
@@ -45,19 +45,19 @@
 };
 
 /** Whose request it is, if it may be handed over; otherwise its caller has been told. */
-const judgeAttempt = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: Progress, claimed: Awaited<ReturnType<typeof claimEndpoint>>): {current: Workspace | undefined} | undefined => {
+const checkAttempt = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, claimed: Awaited<ReturnType<typeof claimEndpoint>>): {current: Workspace | undefined} | undefined => {
 	// It may have come under quarantine while it waited, or by the try before this one.
-	if (refuseQuarantined(core, request, reply, progress)) {
+	if (rejectQuarantined(core, request, reply, progress)) {
 		return undefined;
 	}
 
 	if ('reason' in claimed) {
-		giveUp(core, request, reply, progress, claimed);
+		failRequest(core, request, reply, progress, claimed);
 		return undefined;
 	}
 
-	if (progress.sent > 0 && !core.allowance.takeRetry(request.service)) {
-		giveUp(core, request, reply, progress, {reason: 'no retries are left'});
+	if (progress.sentCount > 0 && !core.allowance.takeRetry(request.service)) {
+		failRequest(core, request, reply, progress, {reason: 'no retries are left'});
 		return undefined;
 	}
 
@@ -68,7 +68,7 @@
 	// Seconds may have gone by since it arrived. A new connection takes up to 0.4 s from here, which the reserve of the evidence covers.
 	const access = core.access.judge(request.admission.key, request.route);
 	if (!isGranted(access)) {
-		giveUpKey(core, request, reply, progress, access.kind);
+		rejectKey(core, request, reply, progress, access.kind);
 		return undefined;
 	}
 
--- a/packages/mastvalve-gateway/src/requests/learn-from-head.ts
+++ b/packages/mastvalve-gateway/src/requests/record-answer-head.ts
@@ -14,7 +14,7 @@
 const unavailableStatus = 503;
 
 /** One line when the word of an endpoint on its limit is another than that of its answer before. */
-const logLimit = (core: GatewayCore, {requestId}: CallerRequest, endpoint: string, {limit}: AnswerHeaders): void => {
+const logLimitChange = (core: GatewayCore, {requestId}: CallerRequest, endpoint: string, {limit}: AnswerHeaders): void => {
 	if (core.board.recordLimitWord(endpoint, limit)) {
 		core.log('endpoint.limit-told', {
 			request: requestId, endpoint, word: limit.kind, perSecond: limit.kind === LimitWordKind.Named ? limit.perSecond : undefined,
@@ -23,7 +23,7 @@
 };
 
 /** Whether another endpoint has answered than the one that was meant. */
-const isOther = (endpoint: FleetEndpoint, {endpointName}: AnswerHeaders): boolean =>
+const isDifferentEndpoint = (endpoint: FleetEndpoint, {endpointName}: AnswerHeaders): boolean =>
 	endpointName !== undefined && endpointName !== parseIncarnation(endpoint.id).name;
 
 /** Remembers that an endpoint is another one, or lacks a model which it was thought to hold. */
@@ -32,7 +32,7 @@
 		return;
 	}
 
-	if (isOther(endpoint, head)) {
+	if (isDifferentEndpoint(endpoint, head)) {
 		core.board.recordReplaced(endpoint.id);
 		return;
 	}
@@ -61,14 +61,14 @@
 };
 
 /** A request that was answered: whom it went to, and its use of that endpoint. */
-export type HeadSource = ClaimedEndpoint & {use: EndpointUse; status: number};
+export type AnswerSource = ClaimedEndpoint & {use: EndpointUse; status: number};
 
 /** Learns from a head. One that belongs to another request, or comes from another endpoint, says nothing of this one. */
-export const learnFromHead = (core: GatewayCore, request: CallerRequest, {endpoint, grantedAt, use, status}: HeadSource, head: AnswerHeaders): void => {
+export const recordAnswerHead = (core: GatewayCore, request: CallerRequest, {endpoint, grantedAt, use, status}: AnswerSource, head: AnswerHeaders): void => {
 	core.board.recordLoad(endpoint.id, head.load);
-	const isForeign = head.requestId !== undefined && head.requestId !== request.requestId;
-	if (!isForeign && !isOther(endpoint, head)) {
-		logLimit(core, request, endpoint.id, head);
+	const isForOtherRequest = head.requestId !== undefined && head.requestId !== request.requestId;
+	if (!isForOtherRequest && !isDifferentEndpoint(endpoint, head)) {
+		logLimitChange(core, request, endpoint.id, head);
 		core.limiter.hear(endpoint, head.limit, grantedAt);
 		recordBackoff(core, request, endpoint, status, head);
 		recordLeaving(core, request, endpoint, head);
--- a/packages/mastvalve-gateway/src/requests/relay.ts
+++ b/packages/mastvalve-gateway/src/requests/relay-body.ts
@@ -8,34 +8,34 @@
 import type {IncomingMessage} from 'node:http';
 import type {Reply} from './reply.js';
 
-const eventEnd = '\n\n';
+const eventDelimiter = '\n\n';
 const idPattern = /^id: ?(?<id>.*)$/gmv;
 
 /** How far a stream is with the caller. */
 export class StreamPosition {
 	lastEventId: string | undefined;
-	private partial = Buffer.alloc(0);
+	private partialEvent = Buffer.alloc(0);
 
 	/** The whole events so far; the rest waits. */
-	take(chunk: Uint8Array): Uint8Array {
-		const bytes = Buffer.concat([this.partial, chunk]);
-		const at = bytes.lastIndexOf(eventEnd);
-		const whole = at === -1 ? bytes.subarray(0, 0) : bytes.subarray(0, at + eventEnd.length);
-		this.partial = bytes.subarray(whole.length);
-		this.lastEventId = [...whole.toString('latin1').matchAll(idPattern)].at(-1)?.groups?.id?.trim() ?? this.lastEventId;
-		return whole;
+	takeCompleteEvents(chunk: Uint8Array): Uint8Array {
+		const bytes = Buffer.concat([this.partialEvent, chunk]);
+		const at = bytes.lastIndexOf(eventDelimiter);
+		const complete = at === -1 ? bytes.subarray(0, 0) : bytes.subarray(0, at + eventDelimiter.length);
+		this.partialEvent = bytes.subarray(complete.length);
+		this.lastEventId = [...complete.toString('latin1').matchAll(idPattern)].at(-1)?.groups?.id?.trim() ?? this.lastEventId;
+		return complete;
 	}
 
 	/** What is left at the end of a whole answer. */
-	takeRest(): Uint8Array {
-		const rest = this.partial;
-		this.partial = Buffer.alloc(0);
-		return rest;
+	takeRemainder(): Uint8Array {
+		const remainder = this.partialEvent;
+		this.partialEvent = Buffer.alloc(0);
+		return remainder;
 	}
 
 	/** Forgets the piece of an event that a broken answer left. */
-	dropPartial(): void {
-		this.partial = Buffer.alloc(0);
+	dropPartialEvent(): void {
+		this.partialEvent = Buffer.alloc(0);
 	}
 }
 
@@ -43,7 +43,7 @@
 export const relayBody = async (res: IncomingMessage, reply: Reply, position: StreamPosition | undefined, isBroken: () => boolean): Promise<boolean> =>
 	new Promise(resolve => {
 		res.on('data', (chunk: Uint8Array) => {
-			const bytes = position ? position.take(chunk) : chunk;
+			const bytes = position ? position.takeCompleteEvents(chunk) : chunk;
 			if (bytes.length > 0 && !reply.write(bytes)) {
 				res.pause();
 				reply.onDrain(() => {
@@ -52,13 +52,13 @@
 			}
 		});
 		res.once('end', () => {
-			const isWhole = res.complete && !isBroken();
-			const rest = position?.takeRest();
-			if (isWhole && rest && rest.length > 0) {
-				reply.write(rest);
+			const isComplete = res.complete && !isBroken();
+			const remainder = position?.takeRemainder();
+			if (isComplete && remainder && remainder.length > 0) {
+				reply.write(remainder);
 			}
 
-			resolve(isWhole);
+			resolve(isComplete);
 		});
 		res.once('error', () => {
 			resolve(false);
--- a/packages/mastvalve-gateway/src/requests/reply.ts
+++ b/packages/mastvalve-gateway/src/requests/reply.ts
@@ -6,23 +6,23 @@
 import type {ServerResponse} from 'node:http';
 
 /** Headers that concern one connection only. */
-const connectionHeaders = new Set(['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
+const hopByHopHeaders = new Set(['connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-authenticate', 'proxy-authorization']);
 
 /** A flat list of names and values without those of one connection. */
-export const dropConnectionHeaders = (rawHeaders: readonly string[]): string[] => {
-	const named = new Set(connectionHeaders);
+export const removeHopByHopHeaders = (rawHeaders: readonly string[]): string[] => {
+	const removed = new Set(hopByHopHeaders);
 	rawHeaders.forEach((value, index) => {
 		if (index % 2 === 1 && rawHeaders[index - 1]?.toLowerCase() === 'connection') {
 			value.split(',').forEach(name => {
-				named.add(name.trim().toLowerCase());
+				removed.add(name.trim().toLowerCase());
 			});
 		}
 	});
-	return rawHeaders.filter((_, index) => !named.has((rawHeaders[index - (index % 2)] ?? '').toLowerCase()));
+	return rawHeaders.filter((_, index) => !removed.has((rawHeaders[index - (index % 2)] ?? '').toLowerCase()));
 };
 
 /** An answer of mastvalve's own. */
-export type OwnAnswer = {status: number; code: string; message: string; retryAfterSeconds?: number};
+export type ProblemAnswer = {status: number; code: string; message: string; retryAfterSeconds?: number};
 
 /** One answer. */
 export class Reply {
@@ -32,7 +32,7 @@
 		return this.res.headersSent;
 	}
 
-	get isOver(): boolean {
+	get isClosed(): boolean {
 		return this.res.writableEnded || this.res.destroyed;
 	}
 
@@ -42,7 +42,7 @@
 	}
 
 	/** Answers for mastvalve itself. */
-	send({status, code, message, retryAfterSeconds}: OwnAnswer): void {
+	send({status, code, message, retryAfterSeconds}: ProblemAnswer): void {
 		if (this.res.headersSent || this.res.destroyed) {
 			return;
 		}
@@ -60,7 +60,7 @@
 
 	/** Begins to pass an endpoint's answer on. */
 	begin(status: number, statusText: string, rawHeaders: readonly string[]): void {
-		this.res.writeHead(status, statusText, dropConnectionHeaders(rawHeaders));
+		this.res.writeHead(status, statusText, removeHopByHopHeaders(rawHeaders));
 		this.res.flushHeaders();
 	}
 
@@ -78,7 +78,7 @@
 	}
 
 	/** Breaks the answer off, so that nobody takes it for whole. */
-	breakOff(): void {
+	abort(): void {
 		this.res.destroy();
 	}
 }
--- a/packages/mastvalve-gateway/src/requests/request-fingerprint.ts
+++ b/packages/mastvalve-gateway/src/requests/request-fingerprint.ts
@@ -17,7 +17,7 @@
 };
 
 /** Hexadecimal digits that are kept: 64 bits. Two of a million different requests are alike with a chance of 1 in 37 million. */
-const digits = 16;
+const fingerprintDigits = 16;
 
 /** The fingerprint, the same at all entries. */
 export const fingerprintRequest = ({method, host, path, caller, body}: RequestContent): string =>
@@ -25,4 +25,4 @@
 		.update(JSON.stringify([method, host.toLowerCase(), path, caller.model, caller.adapter]))
 		.update(body)
 		.digest('hex')
-		.slice(0, digits);
+		.slice(0, fingerprintDigits);
--- a/packages/mastvalve-gateway/src/requests/progress.ts
+++ b/packages/mastvalve-gateway/src/requests/request-progress.ts
@@ -2,31 +2,31 @@
  * How far the serving of one request has come.
  */
 
-import {StreamPosition} from './relay.js';
+import {StreamPosition} from './relay-body.js';
 import type {CallerRequest} from './caller-request.js';
 
 /** What became of the tries so far. */
-export type Progress = {
+export type RequestProgress = {
 	tried: Set<string>;
 	/** When limited endpoints that had no permit for it may be asked again, by endpoint; monotonic ms. */
-	askAgainAt: Map<string, number>;
+	permitRetryAt: Map<string, number>;
 	/** The turn that it waits for at a limited endpoint. */
 	reservation: string | undefined;
-	sent: number;
-	unsent: number;
+	sentCount: number;
+	unsentCount: number;
 	/** Whether some endpoint may have run it. */
 	mayHaveRun: boolean;
-	position: StreamPosition | undefined;
+	streamPosition: StreamPosition | undefined;
 };
 
 /** Nothing was tried yet. */
-export const createProgress = ({route, caller}: CallerRequest): Progress => {
+export const createRequestProgress = ({route, caller}: CallerRequest): RequestProgress => {
 	const position = route.isResumable ? new StreamPosition() : undefined;
 	if (position && caller.resumeAfter !== undefined) {
 		position.lastEventId = caller.resumeAfter;
 	}
 
 	return {
-		tried: new Set(), askAgainAt: new Map(), reservation: undefined, sent: 0, unsent: 0, mayHaveRun: false, position,
+		tried: new Set(), permitRetryAt: new Map(), reservation: undefined, sentCount: 0, unsentCount: 0, mayHaveRun: false, streamPosition: position,
 	};
 };
--- a/packages/mastvalve-gateway/src/requests/choose-now.ts
+++ b/packages/mastvalve-gateway/src/requests/select-endpoint.ts
@@ -10,14 +10,14 @@
 import type {CallerRequest} from './caller-request.js';
 
 /** What a request has tried so far. */
-export type Tries = {
+export type PriorAttempts = {
 	/** Endpoints that it was sent to. */
 	tried: ReadonlySet<string>;
 	/** When limited endpoints that had no permit for it may be asked again, by endpoint; monotonic ms. */
-	askAgainAt: ReadonlyMap<string, number>;
+	permitRetryAt: ReadonlyMap<string, number>;
 };
 
-const readChoiceInput = (core: GatewayCore, request: CallerRequest, {tried, askAgainAt}: Tries): EndpointChoiceInput => ({
+const readChoiceInput = (core: GatewayCore, request: CallerRequest, {tried, permitRetryAt: askAgainAt}: PriorAttempts): EndpointChoiceInput => ({
 	endpoints: core.view.listEndpoints(request.service),
 	model: request.caller.model,
 	adapter: request.caller.adapter,
@@ -34,17 +34,17 @@
 });
 
 /** Chooses among what is here now. */
-export const chooseNow = (core: GatewayCore, request: CallerRequest, tries: Tries): FleetEndpoint | undefined =>
+export const selectEndpoint = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): FleetEndpoint | undefined =>
 	chooseEndpoint(readChoiceInput(core, request, tries));
 
 /** Limited endpoints that may be asked for a permit now, the best first. */
-export const listLimitedNow = (core: GatewayCore, request: CallerRequest, tries: Tries): FleetEndpoint[] =>
+export const listLimitedCandidates = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): FleetEndpoint[] =>
 	listLimited(readChoiceInput(core, request, tries));
 
 /** Whether an endpoint without a limit may get the request now. */
-export const hasUnlimitedNow = (core: GatewayCore, request: CallerRequest, tries: Tries): boolean =>
+export const hasUnlimitedCandidate = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): boolean =>
 	hasUnlimited(readChoiceInput(core, request, tries));
 
 /** What is expected of the endpoints that could take the request. */
-export const listCapacityNow = (core: GatewayCore, request: CallerRequest, tries: Tries): ExpectedCapacity[] =>
+export const listCapacityForecasts = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): ExpectedCapacity[] =>
 	listExpectedCapacity(readChoiceInput(core, request, tries));
--- a/packages/mastvalve-gateway/src/requests/send-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/send-attempt.ts
@@ -8,20 +8,20 @@
 import type {GatewayCore} from '../server/gateway-core.js';
 import {exchange, type ExchangeOutcome} from '../upstream/exchange.js';
 import type {CallerRequest} from './caller-request.js';
-import type {Progress} from './progress.js';
+import type {RequestProgress} from './request-progress.js';
 import {rankRequest} from './rank-request.js';
 
 /** A connection within a region is up in a few ms; a lost packet delays it by a second, ms. */
-const connectMs = 400;
+const connectTimeoutMs = 400;
 
 /** Whether the caller announced a body, even an empty one. */
 const hasBody = ({headers}: CallerRequest): boolean => headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 
 /** Where a request goes, and in whose name. */
-export type Handover = {endpoint: FleetEndpoint; workspace: Workspace | undefined};
+export type AttemptTarget = {endpoint: FleetEndpoint; workspace: Workspace | undefined};
 
 /** One attempt, up to the head of an answer. */
-export const sendAttempt = async (core: GatewayCore, request: CallerRequest, {endpoint, workspace}: Handover, progress: Progress): Promise<ExchangeOutcome> => {
+export const sendAttempt = async (core: GatewayCore, request: CallerRequest, {endpoint, workspace}: AttemptTarget, progress: RequestProgress): Promise<ExchangeOutcome> => {
 	const {caller, callerDeadlineAt, deadlineAt} = request;
 	const remainingMs = Math.max(1, Math.floor(Math.min(callerDeadlineAt, deadlineAt) - core.clock.now()));
 	const {configuration} = core.view;
@@ -31,11 +31,11 @@
 		method: request.method,
 		path: request.path,
 		headers: createEndpointHeaders(core.dialect, request.rawHeaders, {
-			remainingMs, endpointId: endpoint.id, priority: rankRequest(core, request, workspace), resumeAfter: progress.position?.lastEventId ?? caller.resumeAfter,
+			remainingMs, endpointId: endpoint.id, priority: rankRequest(core, request, workspace), resumeAfter: progress.streamPosition?.lastEventId ?? caller.resumeAfter,
 			bodyLength: hasBody(request) ? request.body.length : undefined, workspace: workspace?.name,
 		}, {needsKeys: configuration?.needsKeys ?? false}),
 		body: request.body,
-		connectMs,
+		connectMs: connectTimeoutMs,
 		signal: request.signal,
 	});
 };
--- a/packages/mastvalve-gateway/src/requests/serve-request.ts
+++ b/packages/mastvalve-gateway/src/requests/serve-request.ts
@@ -7,12 +7,12 @@
 import type {GatewayCore} from '../server/gateway-core.js';
 import {ExchangeKind} from '../upstream/exchange.js';
 import type {CallerRequest} from './caller-request.js';
-import {endOrRetry, refuseQuarantined} from './give-up.js';
+import {failUnlessRetryable, rejectQuarantined} from './fail-request.js';
 import {prepareAttempt} from './prepare-attempt.js';
-import {createProgress, type Progress} from './progress.js';
+import {createRequestProgress, type RequestProgress} from './request-progress.js';
 import type {Reply} from './reply.js';
 import {sendAttempt} from './send-attempt.js';
-import {takeAnswer} from './take-answer.js';
+import {handleAnswer} from './handle-answer.js';
 import {hasTimeForSwap} from './wait-for-endpoint.js';
 
 const okStatus = 200;
@@ -20,8 +20,8 @@
 /** Serves a request; the reply is over when this resolves. The result says whether the request may have run. */
 export const serveRequest = async (core: GatewayCore, request: CallerRequest, reply: Reply): Promise<boolean> => {
 	const {caller} = request;
-	const progress = createProgress(request);
-	if (refuseQuarantined(core, request, reply, progress)) {
+	const progress = createRequestProgress(request);
+	if (rejectQuarantined(core, request, reply, progress)) {
 		return false;
 	}
 
@@ -31,17 +31,17 @@
 	}
 
 	let isOver = false;
-	while (!isOver && !reply.isOver && !request.signal.aborted) {
+	while (!isOver && !reply.isClosed && !request.signal.aborted) {
 		// Attempts follow each other.
 		// eslint-disable-next-line no-await-in-loop
-		isOver = await tryOnce(core, request, reply, progress);
+		isOver = await runAttempt(core, request, reply, progress);
 	}
 
 	return progress.mayHaveRun;
 };
 
 /** One attempt; true when the request is over. */
-const tryOnce = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: Progress): Promise<boolean> => {
+const runAttempt = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress): Promise<boolean> => {
 	const attempt = await prepareAttempt(core, request, reply, progress);
 	if (!attempt) {
 		return true;
@@ -53,9 +53,9 @@
 	const outcome = await sendAttempt(core, request, attempt, progress);
 	core.observer.recordAttempt(outcome.kind);
 	if (outcome.kind === ExchangeKind.Answered) {
-		recordHead(core, request, endpoint, outcome.res.statusCode ?? 0, core.clock.now() - sentAt);
-		progress.sent += 1;
-		const isOver = await takeAnswer(core, request, reply, progress, {
+		recordHeadTime(core, request, endpoint, outcome.res.statusCode ?? 0, core.clock.now() - sentAt);
+		progress.sentCount += 1;
+		const isOver = await handleAnswer(core, request, reply, progress, {
 			endpoint, grantedAt, outcome, use,
 		});
 		use.end();
@@ -63,8 +63,8 @@
 	}
 
 	use.end();
-	progress.sent += outcome.kind === ExchangeKind.Lost ? 1 : 0;
-	progress.unsent += outcome.kind === ExchangeKind.NotSent ? 1 : 0;
+	progress.sentCount += outcome.kind === ExchangeKind.Lost ? 1 : 0;
+	progress.unsentCount += outcome.kind === ExchangeKind.NotSent ? 1 : 0;
 	progress.mayHaveRun ||= outcome.kind === ExchangeKind.Lost;
 	if (request.signal.aborted) {
 		return true;
@@ -83,11 +83,11 @@
 	core.log('attempt.failed', {
 		request: request.requestId, fingerprint: request.fingerprint, endpoint: endpoint.id, outcome: outcome.kind, reason: outcome.reason,
 	});
-	return endOrRetry(core, request, reply, progress, outcome.reason);
+	return failUnlessRetryable(core, request, reply, progress, outcome.reason);
 };
 
 /** Learns from the time in which an engine began to answer. */
-const recordHead = (core: GatewayCore, {caller}: CallerRequest, {id}: FleetEndpoint, status: number, headMs: number): void => {
+const recordHeadTime = (core: GatewayCore, {caller}: CallerRequest, {id}: FleetEndpoint, status: number, headMs: number): void => {
 	if (caller.model === undefined || status !== okStatus) {
 		return;
 	}
--- a/packages/mastvalve-gateway/src/requests/wait-budget.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-budget.ts
@@ -6,20 +6,20 @@
 import type {CallerRequest} from './caller-request.js';
 
 /** An expected load or permit may come later by this, since callers wait for the first event behind it, ms. */
-export const expectationReserveMs = 300;
+export const forecastMarginMs = 300;
 
 /** Why a request can't be sent anywhere, and when to ask again. */
 export type NoEndpoint = {reason: string; retryAfterMs: number};
 
 /** Shortest time after which a refused caller comes again, ms. */
-const minRetryMs = 50;
+const minRetryAfterMs = 50;
 
 /** Endpoints that could take it restrict what they take, and none of them does in time. */
-export const refuseForCapacity = (waitMs: number): NoEndpoint =>
-	({reason: 'the endpoints that could take it are at their limits or have asked for backoff', retryAfterMs: Math.max(minRetryMs, waitMs)});
+export const createCapacityRefusal = (waitMs: number): NoEndpoint =>
+	({reason: 'the endpoints that could take it are at their limits or have asked for backoff', retryAfterMs: Math.max(minRetryAfterMs, waitMs)});
 
 /** When the caller gives up if nothing came; monotonic ms. */
-export const waitDeadline = ({arrivedAt, deadlineAt, route}: CallerRequest): number => Math.min(deadlineAt, arrivedAt + (route.patienceMs ?? Number.POSITIVE_INFINITY));
+export const computeWaitDeadline = ({arrivedAt, deadlineAt, route}: CallerRequest): number => Math.min(deadlineAt, arrivedAt + (route.patienceMs ?? Number.POSITIVE_INFINITY));
 
 /** How long a request can still wait, ms. */
-export const remainingWaitMs = ({clock}: GatewayCore, request: CallerRequest): number => waitDeadline(request) - expectationReserveMs - clock.now();
+export const computeRemainingWaitMs = ({clock}: GatewayCore, request: CallerRequest): number => computeWaitDeadline(request) - forecastMarginMs - clock.now();
--- a/packages/mastvalve-gateway/src/requests/wait-for-capacity.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-capacity.ts
@@ -8,9 +8,9 @@
 import type {ExpectedCapacity} from '../routing/choose-endpoint.js';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
-import {chooseNow, listCapacityNow, type Tries} from './choose-now.js';
+import {selectEndpoint, listCapacityForecasts, type PriorAttempts} from './select-endpoint.js';
 import {
-	expectationReserveMs, waitDeadline, refuseForCapacity, type NoEndpoint,
+	forecastMarginMs, computeWaitDeadline, createCapacityRefusal, type NoEndpoint,
 } from './wait-budget.js';
 import {rankRequest} from './rank-request.js';
 
@@ -21,24 +21,24 @@
 };
 
 /** Time until a request that is refused now may be served, ms; undefined when some endpoint can take it now, or none ever. */
-export const findRetryAfterMs = (core: GatewayCore, request: CallerRequest): number | undefined => {
+export const computeRetryAfterMs = (core: GatewayCore, request: CallerRequest): number | undefined => {
 	const now = core.clock.now();
-	const expected = listCapacityNow(core, request, {tried: new Set(), askAgainAt: new Map()});
+	const expected = listCapacityForecasts(core, request, {tried: new Set(), permitRetryAt: new Map()});
 	const isFree = expected.some(({admission}) => admission.kind === AdmissionKind.Now);
 	const at = findCapacityAt(expected, now);
 	return isFree || at === undefined ? undefined : at - now;
 };
 
 /** Until when a request may wait for an endpoint; one that may well refuse it again is waited for only while the answer can be in time. */
-const waitEnd = (request: CallerRequest, {isReliable}: ExpectedCapacity): number => {
-	const latest = waitDeadline(request) - expectationReserveMs;
+const computeWaitEnd = (request: CallerRequest, {isReliable}: ExpectedCapacity): number => {
+	const latest = computeWaitDeadline(request) - forecastMarginMs;
 	return isReliable ? latest : Math.min(latest, request.arrivedAt + request.route.objectiveMs);
 };
 
 /** When to look again: at the next capacity that is expected in time, or when waiting ends; undefined when nothing is worth waiting for. */
-const findNextLook = (request: CallerRequest, expected: readonly ExpectedCapacity[], now: number): number | undefined => {
+const findNextRecheckAt = (request: CallerRequest, expected: readonly ExpectedCapacity[], now: number): number | undefined => {
 	const times = expected.flatMap(each => {
-		const endAt = waitEnd(request, each);
+		const endAt = computeWaitEnd(request, each);
 		const at = each.admission.kind === AdmissionKind.At ? each.admission.at : endAt;
 		return now < endAt && at <= endAt ? [at] : [];
 	});
@@ -46,28 +46,28 @@
 };
 
 /** Waits until an endpoint may take the request, or says why none will. */
-export const waitForCapacity = async (core: GatewayCore, request: CallerRequest, tries: Tries): Promise<FleetEndpoint | NoEndpoint> => {
+export const waitForCapacity = async (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): Promise<FleetEndpoint | NoEndpoint> => {
 	const {clock, view, waiters, demand, onDrain, log, observer} = core;
 	const {caller: {model, adapter}, signal} = request;
 	const startedAt = clock.now();
 	const refuse = (expected: readonly ExpectedCapacity[]): NoEndpoint => {
 		const now = clock.now();
-		return refuseForCapacity((findCapacityAt(expected, now) ?? now) - now);
+		return createCapacityRefusal((findCapacityAt(expected, now) ?? now) - now);
 	};
 
-	const first = listCapacityNow(core, request, tries);
-	if (findNextLook(request, first, startedAt) === undefined || core.isDraining()) {
+	const first = listCapacityForecasts(core, request, tries);
+	if (findNextRecheckAt(request, first, startedAt) === undefined || core.isDraining()) {
 		return refuse(first);
 	}
 
-	const endWanting = model === undefined ? undefined : demand.wait(request.service, model, adapter, request.deadlineAt);
+	const endDemand = model === undefined ? undefined : demand.wait(request.service, model, adapter, request.deadlineAt);
 	return new Promise(resolve => {
-		const done = (outcome: FleetEndpoint | NoEndpoint): void => {
-			endWanting?.();
+		const settle = (outcome: FleetEndpoint | NoEndpoint): void => {
+			endDemand?.();
 			unsubscribeView();
-			waiter.end();
-			onDrain.delete(giveUp);
-			signal.removeEventListener('abort', giveUp);
+			waiter.remove();
+			onDrain.delete(stopWaiting);
+			signal.removeEventListener('abort', stopWaiting);
 			log('request.waited-for-capacity', {
 				request: request.requestId, waitedMs: Math.round(clock.now() - startedAt), outcome: 'id' in outcome ? outcome.id : outcome.reason, revision: view.revision,
 			});
@@ -75,26 +75,26 @@
 			resolve(outcome);
 		};
 
-		const giveUp = (): void => {
-			done(refuse(listCapacityNow(core, request, tries)));
+		const stopWaiting = (): void => {
+			settle(refuse(listCapacityForecasts(core, request, tries)));
 		};
 
-		const look = (): void => {
-			const endpoint = chooseNow(core, request, tries);
-			const lookAt = findNextLook(request, listCapacityNow(core, request, tries), clock.now());
+		const recheck = (): void => {
+			const endpoint = selectEndpoint(core, request, tries);
+			const recheckAt = findNextRecheckAt(request, listCapacityForecasts(core, request, tries), clock.now());
 			if (endpoint) {
-				done(endpoint);
-			} else if (lookAt === undefined) {
-				giveUp();
+				settle(endpoint);
+			} else if (recheckAt === undefined) {
+				stopWaiting();
 			} else {
-				waiter.lookAt(lookAt);
+				waiter.scheduleRecheck(recheckAt);
 			}
 		};
 
-		const unsubscribeView = view.subscribe(look);
-		const waiter = waiters.add(rankRequest(core, request), look);
-		onDrain.add(giveUp);
-		signal.addEventListener('abort', giveUp, {once: true});
-		look();
+		const unsubscribeView = view.subscribe(recheck);
+		const waiter = waiters.add(rankRequest(core, request), recheck);
+		onDrain.add(stopWaiting);
+		signal.addEventListener('abort', stopWaiting, {once: true});
+		recheck();
 	});
 };
--- a/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
@@ -8,30 +8,30 @@
 import {WeightSource, type FleetEndpoint} from 'mastvalve-fleet';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
-import {chooseNow, listCapacityNow, type Tries} from './choose-now.js';
-import {expectationReserveMs, waitDeadline, type NoEndpoint} from './wait-budget.js';
-import {findRetryAfterMs, waitForCapacity} from './wait-for-capacity.js';
+import {selectEndpoint, listCapacityForecasts, type PriorAttempts} from './select-endpoint.js';
+import {forecastMarginMs, computeWaitDeadline, type NoEndpoint} from './wait-budget.js';
+import {computeRetryAfterMs, waitForCapacity} from './wait-for-capacity.js';
 
 /** Control's plan for a new want is here in this part of the objective; a refusal is early within a quarter of it. */
 const decisionShare = 0.2;
 
 /** Held requests are decided on again this often, ms: a load may have failed, or its leader may be gone. */
-const recheckMs = 250;
+const recheckIntervalMs = 250;
 /** A load that is overdue by this is not counted on any more, ms; most end within 0.3 s of the time expected. */
-const overdueMs = 1000;
+const maxOverdueMs = 1000;
 
 /** A load that is not under way may have to wait for other orders first; it ends after up to this many times its own time. */
-const loadReserve: Record<WeightSource, number> = {[WeightSource.Memory]: 3, [WeightSource.Disk]: 2, [WeightSource.Store]: 1.3};
+const loadTimeFactors: Record<WeightSource, number> = {[WeightSource.Memory]: 3, [WeightSource.Disk]: 2, [WeightSource.Store]: 1.3};
 
 /** Pause of a caller whose request no endpoint can take, ms. */
-const defaultRetryMs = 100;
+const defaultRetryAfterMs = 100;
 /** Pause of a caller whose model is not expected; it may not be longer than a third of the time that is left, ms. */
-const unknownRetryMs = 1200;
+const unknownModelRetryAfterMs = 1200;
 
 /** Whether a load that is under way ends before the caller gives up; undefined when there is no load. */
-const isExpectedInTime = (core: GatewayCore, request: CallerRequest, model: string): boolean | undefined => {
+const isLoadExpectedInTime = (core: GatewayCore, request: CallerRequest, model: string): boolean | undefined => {
 	const at = core.view.expectModel(request.service, model);
-	return at === undefined ? undefined : at + expectationReserveMs < waitDeadline(request) && core.clock.now() < at + overdueMs;
+	return at === undefined ? undefined : at + forecastMarginMs < computeWaitDeadline(request) && core.clock.now() < at + maxOverdueMs;
 };
 
 /** The nearest copy of a model's weights that an endpoint has. */
@@ -54,55 +54,55 @@
 
 	const source = findNearestSource(core, request.service, model);
 	const loadMs: Record<WeightSource, number> = {[WeightSource.Memory]: known.memoryLoadMs, [WeightSource.Disk]: known.diskLoadMs, [WeightSource.Store]: known.storeLoadMs};
-	return core.clock.now() + (loadMs[source] * loadReserve[source]) < waitDeadline(request);
+	return core.clock.now() + (loadMs[source] * loadTimeFactors[source]) < computeWaitDeadline(request);
 };
 
 /** A change of models takes this many times as long as a load from disk: what gives way is unloaded first. */
-const swapReserve = 1.5;
+const swapTimeFactor = 1.5;
 
 /** Whether the objective of a request leaves time for a load from an engine's disk. */
 export const hasTimeForSwap = (core: GatewayCore, {service, route}: CallerRequest, model: string): boolean => {
 	const spec = core.view.configuration?.services.find(({name}) => name === service)?.engine;
 	const diskLoadMs = spec?.models.find(({name}) => name === model)?.diskLoadMs ?? 0;
-	return route.objectiveMs >= diskLoadMs * swapReserve;
+	return route.objectiveMs >= diskLoadMs * swapTimeFactor;
 };
 
-const describeAbsence = (core: GatewayCore, request: CallerRequest, model: string): NoEndpoint => {
+const createModelRefusal = (core: GatewayCore, request: CallerRequest, model: string): NoEndpoint => {
 	const now = core.clock.now();
-	const expectedMs = (core.view.expectModel(request.service, model) ?? now + unknownRetryMs) - now;
+	const expectedMs = (core.view.expectModel(request.service, model) ?? now + unknownModelRetryAfterMs) - now;
 	const third = (request.callerDeadlineAt - now) / 3;
 	return {reason: `no endpoint holds ${model} in time`, retryAfterMs: Math.max(50, Math.min(expectedMs, third))};
 };
 
 /** What a request has tried, and how many endpoints were handed it. */
-export type Tried = Tries & {sent: number};
+export type WaitingAttempts = PriorAttempts & {sentCount: number};
 
 /** An endpoint, or why there is none. A request that was handed to nobody yet may wait, also when endpoints were out of reach. */
-export const waitForEndpoint = async (core: GatewayCore, request: CallerRequest, tries: Tried): Promise<FleetEndpoint | NoEndpoint> => {
-	const now = chooseNow(core, request, tries);
-	const {tried, sent} = tries;
+export const waitForEndpoint = async (core: GatewayCore, request: CallerRequest, tries: WaitingAttempts): Promise<FleetEndpoint | NoEndpoint> => {
+	const immediate = selectEndpoint(core, request, tries);
+	const {tried, sentCount: sent} = tries;
 	const {model, adapter} = request.caller;
-	if (now) {
-		return now;
+	if (immediate) {
+		return immediate;
 	}
 
-	if (listCapacityNow(core, request, tries).length > 0) {
+	if (listCapacityForecasts(core, request, tries).length > 0) {
 		return waitForCapacity(core, request, tries);
 	}
 
 	if (model === undefined || sent > 0 || core.isDraining()) {
-		return {reason: 'no endpoint can take it', retryAfterMs: findRetryAfterMs(core, request) ?? defaultRetryMs};
+		return {reason: 'no endpoint can take it', retryAfterMs: computeRetryAfterMs(core, request) ?? defaultRetryAfterMs};
 	}
 
 	return new Promise(resolve => {
 		const startedAt = core.clock.now();
 		let isHeld = false;
-		const done = (outcome: FleetEndpoint | NoEndpoint): void => {
-			endWaiting();
+		const settle = (outcome: FleetEndpoint | NoEndpoint): void => {
+			endDemand();
 			unsubscribe();
 			clearTimeout(timer);
-			core.onDrain.delete(giveUp);
-			request.signal.removeEventListener('abort', giveUp);
+			core.onDrain.delete(stopWaiting);
+			request.signal.removeEventListener('abort', stopWaiting);
 			core.log('request.waited', {
 				request: request.requestId, model, adapter, waitedMs: Math.round(core.clock.now() - startedAt), outcome: 'id' in outcome ? outcome.id : outcome.reason, revision: core.view.revision,
 			});
@@ -110,15 +110,15 @@
 			resolve(outcome);
 		};
 
-		const giveUp = (): void => {
-			done(describeAbsence(core, request, model));
+		const stopWaiting = (): void => {
+			settle(createModelRefusal(core, request, model));
 		};
 
 		const decide = (): void => {
 			// The model may be here, and only its adapter on its way; that takes ms, or the end of a load.
 			const isModelHere = core.view.listEndpoints(request.service).some(({id, holds}) => !tried.has(id) && holds.some(({name}) => name === model));
-			if (!isModelHere && isExpectedInTime(core, request, model) !== true && !hasTimeForLoad(core, request, model)) {
-				giveUp();
+			if (!isModelHere && isLoadExpectedInTime(core, request, model) !== true && !hasTimeForLoad(core, request, model)) {
+				stopWaiting();
 				return;
 			}
 
@@ -129,24 +129,24 @@
 				});
 			}
 
-			const leftMs = waitDeadline(request) - core.clock.now() - expectationReserveMs;
-			timer = leftMs > recheckMs ? setTimeout(decide, recheckMs) : setTimeout(giveUp, Math.max(1, leftMs));
+			const leftMs = computeWaitDeadline(request) - core.clock.now() - forecastMarginMs;
+			timer = leftMs > recheckIntervalMs ? setTimeout(decide, recheckIntervalMs) : setTimeout(stopWaiting, Math.max(1, leftMs));
 		};
 
 		const unsubscribe = core.view.subscribe(() => {
 			if (core.quarantine.remainingMs(request.fingerprint) !== undefined) {
-				giveUp();
+				stopWaiting();
 				return;
 			}
 
-			const endpoint = chooseNow(core, request, tries);
+			const endpoint = selectEndpoint(core, request, tries);
 			if (endpoint) {
-				done(endpoint);
+				settle(endpoint);
 			}
 		});
-		core.onDrain.add(giveUp);
-		request.signal.addEventListener('abort', giveUp, {once: true});
-		const endWaiting = core.demand.wait(request.service, model, adapter, waitDeadline(request));
+		core.onDrain.add(stopWaiting);
+		request.signal.addEventListener('abort', stopWaiting, {once: true});
+		const endDemand = core.demand.wait(request.service, model, adapter, computeWaitDeadline(request));
 		let timer = setTimeout(decide, request.route.objectiveMs * decisionShare);
 		core.log('request.waits', {
 			request: request.requestId, model, adapter, revision: core.view.revision,
--- a/packages/mastvalve-gateway/src/server/gateway.ts
+++ b/packages/mastvalve-gateway/src/server/gateway.ts
@@ -219,7 +219,7 @@
 			request: requestId, route: route.name, ageMs, hasBegun: reply.hasBegun,
 		});
 		if (reply.hasBegun) {
-			reply.breakOff();
+			reply.abort();
 		} else {
 			reply.send({status: 504, code: 'deadline-passed', message: `No answer within ${ageMs} ms. The request may have run.`});
 		}
