--- a/packages/mastvalve-access/__tests__/access.steps.ts
+++ b/packages/mastvalve-access/__tests__/access.steps.ts
@@ -8,10 +8,10 @@
 } from '@cucumber/cucumber';
 import {createRandom} from 'mastvalve-utils';
 import {
-	costOf, Evidence, GrantHistory, LimitLedger, LimitUnit, LimitWindow, LocalLimits, rankPriorities, type LimitTolerance, type Workspace, type WorkspaceLimit,
+	computeRequestCost, KeyFreshness, GrantHistory, LimitLedger, LimitUnit, LimitWindow, DisconnectedLimits, rankPriorities, type LimitTolerance, type Workspace, type WorkspaceLimit,
 } from '../src/index.js';
 
-type AccessWorld = World & {evidence: Evidence; window: LimitWindow};
+type AccessWorld = World & {evidence: KeyFreshness; window: LimitWindow};
 
 const tolerance: LimitTolerance = {windowMs: 8000, overage: 0.1, slack: 17_000};
 const requestTokens = 2400;
@@ -35,36 +35,36 @@
 	Math.max(0, ...granted.map(({at}) => granted.filter(other => other.at >= at && other.at < at + windowMs).reduce((sum, {cost}) => sum + cost, 0)));
 
 Given('a bound of {int} ms on keys that were taken away', function (this: AccessWorld, boundMs: number) {
-	this.evidence = new Evidence(boundMs);
+	this.evidence = new KeyFreshness(boundMs);
 });
 
 Given('no bound on keys that were taken away', function (this: AccessWorld) {
-	this.evidence = new Evidence(undefined);
+	this.evidence = new KeyFreshness(undefined);
 });
 
 When('control was sure {int} ms before the question at {int} ms was answered', function (this: AccessWorld, beforeMs: number, askedAt: number) {
-	this.evidence.record(askedAt, -beforeMs);
+	this.evidence.recordAnswer(askedAt, -beforeMs);
 });
 
 When('the entry was suspended at {int} ms', function (this: AccessWorld, at: number) {
-	this.evidence.distrust(at);
+	this.evidence.invalidate(at);
 });
 
 When('control answers the question of {int} ms', function (this: AccessWorld, askedAt: number) {
-	this.evidence.record(askedAt, 0);
+	this.evidence.recordAnswer(askedAt, 0);
 });
 
 Then('keys are believed at {int} ms, and not at {int} ms', function (this: AccessWorld, last: number, first: number) {
-	assert.equal(this.evidence.isSure(last), true);
-	assert.equal(this.evidence.isSure(first), false);
+	assert.equal(this.evidence.isFresh(last), true);
+	assert.equal(this.evidence.isFresh(first), false);
 });
 
 Then('keys are believed at {int} ms', function (this: AccessWorld, at: number) {
-	assert.equal(this.evidence.isSure(at), true);
+	assert.equal(this.evidence.isFresh(at), true);
 });
 
 Then('keys are not believed at {int} ms', function (this: AccessWorld, at: number) {
-	assert.equal(this.evidence.isSure(at), false);
+	assert.equal(this.evidence.isFresh(at), false);
 });
 
 Then('workspaces of priorities 0, 1 and 2 with routes of priorities 0, 1 and 2 are ranked 0 to 8', () => {
@@ -92,7 +92,7 @@
 Then('a request that declares {word} counts {int} by {word}', (declared: string, cost: number, unit: string) => {
 	const [prompt = 0, output = 0] = declared.split(',').map(Number);
 	const limit = {...limitOf(1), unit: unit === 'tokens' ? LimitUnit.Tokens : LimitUnit.Requests};
-	assert.equal(costOf(limit, declared === 'nothing' ? undefined : {prompt, output}), cost);
+	assert.equal(computeRequestCost(limit, declared === 'nothing' ? undefined : {prompt, output}), cost);
 });
 
 Then('over {int} runs of bursts and changes of leader no window of 8 s is granted more than the tolerance allows', (runs: number) => {
@@ -122,12 +122,12 @@
 			const hearing = histories.filter((each, index) => !heard.has(each) && (each === history || now >= begunAt + (450 * index / entries)));
 			hearing.forEach(each => {
 				heard.add(each);
-				each.list(now).forEach(grant => {
-					ledger.addFormer(workspace, grant, now);
+				each.listPriorGrants(now).forEach(grant => {
+					ledger.addPriorGrant(workspace, grant, now);
 				});
 			});
 			const cost = requestTokens * 2 * random();
-			if (ledger.settle(workspace, cost, now) === 0) {
+			if (ledger.applyClaim(workspace, cost, now) === 0) {
 				history.record('w', cost, now);
 				granted.push({at: now, cost});
 			}
@@ -147,7 +147,7 @@
 		while (at < 30_000) {
 			const cost = requestTokens * (0.5 + random());
 			at += cost / limit.ratePerSecond * 1000 * (0.8 + (0.4 * random()));
-			assert.equal(ledger.settle(workspaceOf(limit), cost, at), 0, `seed ${seed + 1} at ${at}`);
+			assert.equal(ledger.applyClaim(workspaceOf(limit), cost, at), 0, `seed ${seed + 1} at ${at}`);
 		}
 	});
 });
@@ -155,10 +155,10 @@
 Then('a request of {int} tokens passes an empty window of {int} a second, and the next one waits until that has left it', (cost: number, ratePerSecond: number) => {
 	const ledger = new LimitLedger(tolerance, 0);
 	const workspace = workspaceOf(limitOf(ratePerSecond));
-	assert.equal(ledger.settle(workspace, cost, 60_000), 0);
-	const waitMs = ledger.settle(workspace, requestTokens, 60_000);
+	assert.equal(ledger.applyClaim(workspace, cost, 60_000), 0);
+	const waitMs = ledger.applyClaim(workspace, requestTokens, 60_000);
 	assert.ok(waitMs >= tolerance.windowMs && waitMs <= tolerance.windowMs + 100, `${waitMs}`);
-	assert.equal(ledger.settle(workspace, requestTokens, 60_000 + waitMs), 0);
+	assert.equal(ledger.applyClaim(workspace, requestTokens, 60_000 + waitMs), 0);
 });
 
 Then('whoever comes back at the time that it was told is served', () => {
@@ -166,15 +166,15 @@
 	const workspace = workspaceOf(limitOf(4200));
 	const costs = Array.from({length: 60}, (_, index) => 500 + (index * 100));
 	costs.reduce((at, cost) => {
-		const waitMs = ledger.settle(workspace, cost, at);
-		assert.equal(waitMs === 0 || ledger.settle(workspace, cost, at + waitMs) === 0, true);
+		const waitMs = ledger.applyClaim(workspace, cost, at);
+		assert.equal(waitMs === 0 || ledger.applyClaim(workspace, cost, at + waitMs) === 0, true);
 		return at + waitMs;
 	}, 0);
 });
 
 Then('a limit that falls to a tenth grants no more than a window of its own from then on', () => {
 	const ledger = new LimitLedger(tolerance, 0);
-	const ask = (limit: WorkspaceLimit, at: number): number => Array.from({length: 400}, () => (ledger.settle(workspaceOf(limit), requestTokens, at) === 0 ? requestTokens : 0)).reduce<number>((sum, cost) => sum + cost, 0);
+	const ask = (limit: WorkspaceLimit, at: number): number => Array.from({length: 400}, () => (ledger.applyClaim(workspaceOf(limit), requestTokens, at) === 0 ? requestTokens : 0)).reduce<number>((sum, cost) => sum + cost, 0);
 	const before = ask(limitOf(42_000), 10_000);
 	const after = ask(limitOf(4200), 10_010);
 	assert.ok(after > 0 || before > allowedIn(limitOf(42_000), tolerance) / 2);
@@ -189,7 +189,7 @@
 	const ledger = new LimitLedger(tolerance, -1000);
 	const lone = Array.from({length: entries}, () => {
 		const history = new GrantHistory(tolerance.windowMs);
-		return {history, limits: new LocalLimits(history, tolerance.windowMs)};
+		return {history, limits: new DisconnectedLimits(history, tolerance.windowMs)};
 	});
 	const granted: Granted[] = [];
 	const aloneAt = 16_000 + (random() * 8000);
@@ -201,11 +201,11 @@
 		if (!isDisconnected && now >= aloneAt) {
 			isDisconnected = true;
 			lone.forEach(entry => {
-				entry.limits.begin(now);
+				entry.limits.disconnect(now);
 			});
 		}
 
-		const isGranted = isDisconnected ? limits.mayTake('w', requestTokens, now) : ledger.settle(workspace, requestTokens, now) === 0;
+		const isGranted = isDisconnected ? limits.mayGrant('w', requestTokens, now) : ledger.applyClaim(workspace, requestTokens, now) === 0;
 		askedAlone += isDisconnected ? 1 : 0;
 		grantedAlone += isDisconnected && isGranted ? 1 : 0;
 		if (isGranted) {
@@ -247,11 +247,11 @@
 });
 
 When('1000 are given back at 4100 ms', function (this: AccessWorld) {
-	this.window.giveBack(1000);
+	this.window.refund(1000);
 });
 
 Then('1000 count at 7900 ms, and at 8100 ms at least 1000 of those of 4000 ms', function (this: AccessWorld) {
-	assert.equal(this.window.waitFor(1000, 7900), 0);
-	assert.ok(this.window.waitFor(1001, 7900) > 0);
-	assert.ok(this.window.waitFor(1001, 8100) > 0);
+	assert.equal(this.window.computeWaitMs(1000, 7900), 0);
+	assert.ok(this.window.computeWaitMs(1001, 7900) > 0);
+	assert.ok(this.window.computeWaitMs(1001, 8100) > 0);
 });
--- a/packages/mastvalve-access/src/judge-access.ts
+++ b/packages/mastvalve-access/src/authorize-request.ts
@@ -12,13 +12,13 @@
 	/** It may go on, in the name of a workspace or of nobody. */
 	Granted = 'granted',
 	/** No workspace holds such a key, or none was presented. */
-	Unknown = 'unknown',
+	UnknownKey = 'unknown',
 	/** This entry has not heard from control for so long that the key may have been taken away. */
-	Unsure = 'unsure',
+	StaleKeys = 'unsure',
 }
 
 /** The judgement, with the workspace in whose name the request goes on. */
-export type Access = {kind: AccessKind.Granted; workspace: Workspace | undefined} | {kind: AccessKind.Unknown | AccessKind.Unsure};
+export type AccessDecision = {kind: AccessKind.Granted; workspace: Workspace | undefined} | {kind: AccessKind.UnknownKey | AccessKind.StaleKeys};
 
 /** What the judgement rests on. */
 export type AccessInput = {
@@ -28,19 +28,19 @@
 	/** Whether the route is open to anybody. */
 	isAnonymous: boolean;
 	/** Whether this entry may still believe that no key was taken away. */
-	isSure: boolean;
+	hasFreshKeys: boolean;
 };
 
 /** Judges. An entry that may be out of date refuses known and unknown keys alike: an unknown one may be new. */
-export const judgeAccess = ({key, workspaces, isAnonymous, isSure}: AccessInput): Access => {
+export const authorizeRequest = ({key, workspaces, isAnonymous, hasFreshKeys}: AccessInput): AccessDecision => {
 	if (!workspaces) {
 		return {kind: AccessKind.Granted, workspace: undefined};
 	}
 
-	const workspace = isSure && key.kind === KeyKind.Presented ? workspaces.findByKey(key.digest) : undefined;
+	const workspace = hasFreshKeys && key.kind === KeyKind.Presented ? workspaces.findByKey(key.digest) : undefined;
 	if (workspace !== undefined || isAnonymous) {
 		return {kind: AccessKind.Granted, workspace};
 	}
 
-	return {kind: isSure || key.kind !== KeyKind.Presented ? AccessKind.Unknown : AccessKind.Unsure};
+	return {kind: hasFreshKeys || key.kind !== KeyKind.Presented ? AccessKind.UnknownKey : AccessKind.StaleKeys};
 };
--- a/packages/mastvalve-access/src/proven-moment.ts
+++ b/packages/mastvalve-access/src/confirmed-time.ts
@@ -5,31 +5,31 @@
  */
 
 /** The moment. Times are monotonic, ms. */
-export class ProvenMoment {
+export class ConfirmedTime {
 	private latest = Number.NEGATIVE_INFINITY;
-	private trustedFrom = Number.NEGATIVE_INFINITY;
+	private invalidatedUntil = Number.NEGATIVE_INFINITY;
 
 	/** The latest moment; negative infinity without any. */
-	get at(): number {
+	get latestAt(): number {
 		return this.latest;
 	}
 
 	/** When time may have gone by that was not counted; negative infinity if it never did. */
-	get distrustedAt(): number {
-		return this.trustedFrom;
+	get invalidatedAt(): number {
+		return this.invalidatedUntil;
 	}
 
 	/** The answer to a question asked at `askedAt` proves what is known up to `moment`. */
-	record(askedAt: number, moment: number): void {
+	record(askedAt: number, confirmedAt: number): void {
 		// Strictly later: the clock may have stood still at that very moment.
-		if (askedAt > this.trustedFrom) {
-			this.latest = Math.max(this.latest, moment);
+		if (askedAt > this.invalidatedUntil) {
+			this.latest = Math.max(this.latest, confirmedAt);
 		}
 	}
 
 	/** Time may have gone by that the steady clock did not count. */
-	distrust(now: number): void {
+	invalidate(now: number): void {
 		this.latest = Number.NEGATIVE_INFINITY;
-		this.trustedFrom = now;
+		this.invalidatedUntil = now;
 	}
 }
--- a/packages/mastvalve-access/src/local-limits.ts
+++ b/packages/mastvalve-access/src/disconnected-limits.ts
@@ -11,10 +11,10 @@
 import type {GrantHistory} from './grant-history.js';
 
 /** The limits of one entry that is disconnected from the leader. Times are monotonic, ms. */
-export class LocalLimits {
+export class DisconnectedLimits {
 	private readonly refusedAt = new Map<string, number>();
 	/** What each workspace had here when nobody answered any more; undefined while somebody does. */
-	private had: Map<string, number> | undefined;
+	private baselines: Map<string, number> | undefined;
 
 	/** A refusal tells for `windowMs` that the limit is reached. */
 	constructor(private readonly history: GrantHistory, private readonly windowMs: number) {}
@@ -25,19 +25,19 @@
 	}
 
 	/** Nobody answers from now on. */
-	begin(now: number): void {
-		this.had = this.history.listSums(now);
+	disconnect(now: number): void {
+		this.baselines = this.history.listSums(now);
 	}
 
 	/** Somebody answers again. */
-	end(): void {
-		this.had = undefined;
+	reconnect(): void {
+		this.baselines = undefined;
 	}
 
 	/** Whether a cost may pass. */
-	mayTake(workspace: string, cost: number, now: number): boolean {
-		const had = this.had?.get(workspace) ?? 0;
-		const sum = this.history.sumOf(workspace, now);
+	mayGrant(workspace: string, cost: number, now: number): boolean {
+		const had = this.baselines?.get(workspace) ?? 0;
+		const sum = this.history.computeSum(workspace, now);
 		const wasRefused = now - (this.refusedAt.get(workspace) ?? Number.NEGATIVE_INFINITY) < this.windowMs;
 		return wasRefused ? sum + cost <= had : sum <= had;
 	}
--- a/packages/mastvalve-access/src/grant-history.ts
+++ b/packages/mastvalve-access/src/grant-history.ts
@@ -3,7 +3,7 @@
  * window begins anew with a leader.
  */
 
-import type {FormerGrant} from './limit-ledger.js';
+import type {PriorGrant} from './limit-ledger.js';
 
 /** Grants are told in steps of this length, ms. */
 const stepMs = 500;
@@ -18,27 +18,27 @@
 	constructor(private readonly windowMs: number) {}
 
 	record(workspace: string, cost: number, now: number): void {
-		this.forget(now);
+		this.dropExpired(now);
 		this.grants.push({workspace, cost, at: now});
-		this.sums.set(workspace, this.sumOf(workspace, now) + cost);
+		this.sums.set(workspace, this.computeSum(workspace, now) + cost);
 	}
 
 	/** What a workspace was granted here within the window. */
-	sumOf(workspace: string, now: number): number {
-		this.forget(now);
+	computeSum(workspace: string, now: number): number {
+		this.dropExpired(now);
 		return this.sums.get(workspace) ?? 0;
 	}
 
 	/** Sums of all workspaces. */
 	listSums(now: number): Map<string, number> {
-		this.forget(now);
+		this.dropExpired(now);
 		return new Map(this.sums);
 	}
 
 	/** What a new leader is told: sums by workspace and step, each with the age of its youngest grant. */
-	list(now: number): FormerGrant[] {
-		this.forget(now);
-		const steps = new Map<string, FormerGrant>();
+	listPriorGrants(now: number): PriorGrant[] {
+		this.dropExpired(now);
+		const steps = new Map<string, PriorGrant>();
 		this.grants.forEach(({workspace, cost, at}) => {
 			const key = `${workspace} ${Math.floor((now - at) / stepMs)}`;
 			const known = steps.get(key) ?? {workspace, amount: 0, ageMs: now - at};
@@ -47,7 +47,7 @@
 		return [...steps.values()];
 	}
 
-	private forget(now: number): void {
+	private dropExpired(now: number): void {
 		const kept = this.grants.findIndex(({at}) => at > now - this.windowMs);
 		this.grants.splice(0, kept === -1 ? this.grants.length : kept).forEach(({workspace, cost}) => {
 			const left = (this.sums.get(workspace) ?? 0) - cost;
--- a/packages/mastvalve-access/src/evidence.ts
+++ b/packages/mastvalve-access/src/key-freshness.ts
@@ -9,41 +9,41 @@
  * evidence ends.
  */
 
-import {ProvenMoment} from './proven-moment.js';
+import {ConfirmedTime} from './confirmed-time.js';
 
 /** Part of the bound that is used, since steady clocks differ (by 1 in 10,000) and a hand-over takes some ms. */
-const usedShare = 0.9;
+const usedRatio = 0.9;
 
 /** The evidence of one entry. Times are monotonic, ms. */
-export class Evidence {
+export class KeyFreshness {
 	/** Up to this moment all that was committed is known here. */
-	private readonly sure = new ProvenMoment();
+	private readonly confirmed = new ConfirmedTime();
 
 	/** `boundMs` is the longest time for which a key may be served after it was taken away; undefined when there is no such bound. */
 	constructor(private readonly boundMs: number | undefined) {}
 
 	/** An answer to a question that was asked at `askedAt`: what it brought includes all that was committed up to `sureAfterMs` later. */
-	record(askedAt: number, sureAfterMs: number): void {
-		this.sure.record(askedAt, askedAt + sureAfterMs);
+	recordAnswer(askedAt: number, sureAfterMs: number): void {
+		this.confirmed.record(askedAt, askedAt + sureAfterMs);
 	}
 
 	/** Time may have gone by that the steady clock did not count. */
-	distrust(now: number): void {
-		this.sure.distrust(now);
+	invalidate(now: number): void {
+		this.confirmed.invalidate(now);
 	}
 
 	/** Whether keys may be believed. */
-	isSure(now: number): boolean {
-		return this.boundMs === undefined || this.ageAt(now) < this.boundMs * usedShare;
+	isFresh(now: number): boolean {
+		return this.boundMs === undefined || this.computeAgeMs(now) < this.boundMs * usedRatio;
 	}
 
 	/** How old the evidence is, ms; infinite without any. */
-	ageAt(now: number): number {
-		return now - this.sure.at;
+	computeAgeMs(now: number): number {
+		return now - this.confirmed.latestAt;
 	}
 
 	/** Whether it was ended by a suspension and comes again with the next answer. */
-	isAwaited(now: number, forMs: number): boolean {
-		return this.sure.at === Number.NEGATIVE_INFINITY && now - this.sure.distrustedAt < forMs;
+	isAwaitingRenewal(now: number, withinMs: number): boolean {
+		return this.confirmed.latestAt === Number.NEGATIVE_INFINITY && now - this.confirmed.invalidatedAt < withinMs;
 	}
 }
--- a/packages/mastvalve-access/src/limit-ledger.ts
+++ b/packages/mastvalve-access/src/limit-ledger.ts
@@ -10,49 +10,49 @@
 export type LimitClaim = {workspace: string; cost: number};
 
 /** What an entry was granted by the leader before, and how long ago, ms. */
-export type FormerGrant = {workspace: string; amount: number; ageMs: number};
+export type PriorGrant = {workspace: string; amount: number; ageMs: number};
 
 /** The answer to a claim: 0 when it was taken, or the time until it can be taken, ms. */
-export type LimitAnswer = number;
+export type LimitWaitMs = number;
 
-type Entry = {
+type LimitState = {
 	limit: WorkspaceLimit;
 	window: LimitWindow;
 	/** The window of a higher limit that was in force until lately; what it counts may not be granted twice. */
-	former: {window: LimitWindow; until: number} | undefined;
+	superseded: {window: LimitWindow; until: number} | undefined;
 };
 
-const isSame = (a: WorkspaceLimit, b: WorkspaceLimit): boolean =>
+const isSameLimit = (a: WorkspaceLimit, b: WorkspaceLimit): boolean =>
 	a.unit === b.unit && a.ratePerSecond === b.ratePerSecond && a.burst === b.burst;
 
-const isRaised = (from: WorkspaceLimit, to: WorkspaceLimit): boolean =>
+const isRaisedLimit = (from: WorkspaceLimit, to: WorkspaceLimit): boolean =>
 	from.unit === to.unit && to.ratePerSecond >= from.ratePerSecond && to.burst >= from.burst;
 
 /** The ledger. */
 export class LimitLedger {
-	private readonly entries = new Map<string, Entry>();
-	private readonly begunAt: number;
+	private readonly states = new Map<string, LimitState>();
+	private readonly startedAt: number;
 
 	constructor(private readonly tolerance: LimitTolerance, now: number) {
-		this.begunAt = now;
+		this.startedAt = now;
 	}
 
 	/** Answers a claim of a workspace as it is in force. */
-	settle({limit, name}: Workspace, cost: number, now: number): LimitAnswer {
+	applyClaim({limit, name}: Workspace, cost: number, now: number): LimitWaitMs {
 		if (!limit) {
 			return 0;
 		}
 
-		const {window, former} = this.entryOf(name, limit, now);
-		const windows = [window, ...(former ? [former.window] : [])];
+		const {window, superseded} = this.findOrCreateState(name, limit, now);
+		const windows = [window, ...(superseded ? [superseded.window] : [])];
 		if (cost < 0) {
 			windows.forEach(each => {
-				each.giveBack(-cost);
+				each.refund(-cost);
 			});
 			return 0;
 		}
 
-		const waitMs = Math.max(...windows.map(each => each.waitFor(cost, now)));
+		const waitMs = Math.max(...windows.map(each => each.computeWaitMs(cost, now)));
 		if (waitMs === 0) {
 			windows.forEach(each => {
 				each.take(cost, now);
@@ -63,40 +63,40 @@
 	}
 
 	/** Takes in what an entry was granted by the leader before. */
-	addFormer({limit, name}: Workspace, {amount, ageMs}: FormerGrant, now: number): void {
+	addPriorGrant({limit, name}: Workspace, {amount, ageMs}: PriorGrant, now: number): void {
 		if (limit) {
-			this.entryOf(name, limit, now).window.addFormer(amount, ageMs, now);
+			this.findOrCreateState(name, limit, now).window.addPriorGrant(amount, ageMs, now);
 		}
 	}
 
-	private entryOf(name: string, limit: WorkspaceLimit, now: number): Entry {
-		const known = this.entries.get(name);
+	private findOrCreateState(name: string, limit: WorkspaceLimit, now: number): LimitState {
+		const known = this.states.get(name);
 		if (!known) {
-			const entry = {limit, window: new LimitWindow(limit, this.tolerance, this.begunAt), former: undefined};
-			this.entries.set(name, entry);
-			return entry;
+			const state = {limit, window: new LimitWindow(limit, this.tolerance, this.startedAt), superseded: undefined};
+			this.states.set(name, state);
+			return state;
 		}
 
-		if (!isSame(known.limit, limit)) {
-			this.change(known, limit, now);
+		if (!isSameLimit(known.limit, limit)) {
+			this.changeLimit(known, limit, now);
 		}
 
-		if (known.former && now >= known.former.until) {
-			known.former = undefined;
+		if (known.superseded && now >= known.superseded.until) {
+			known.superseded = undefined;
 		}
 
 		return known;
 	}
 
 	/** What ran under a higher limit doesn't count under a lower one, or nothing could run for a whole window. */
-	private change(entry: Entry, limit: WorkspaceLimit, now: number): void {
-		if (isRaised(entry.limit, limit)) {
-			entry.window.raise(limit);
+	private changeLimit(state: LimitState, limit: WorkspaceLimit, now: number): void {
+		if (isRaisedLimit(state.limit, limit)) {
+			state.window.raiseLimit(limit);
 		} else {
-			entry.former = {window: entry.window, until: now + this.tolerance.windowMs};
-			entry.window = new LimitWindow(limit, this.tolerance, this.begunAt);
+			state.superseded = {window: state.window, until: now + this.tolerance.windowMs};
+			state.window = new LimitWindow(limit, this.tolerance, this.startedAt);
 		}
 
-		entry.limit = limit;
+		state.limit = limit;
 	}
 }
--- a/packages/mastvalve-access/src/limit-window.ts
+++ b/packages/mastvalve-access/src/limit-window.ts
@@ -16,18 +16,18 @@
 
 const msPerSecond = 1000;
 /** Part of the tolerance that is granted. */
-const grantedPart = 0.4;
+const grantedToleranceRatio = 0.4;
 /** Part of the tolerance that a new leader grants at once; leaders change at most twice in a window of some seconds. */
-const beginningPart = 0.25;
+const startupToleranceRatio = 0.25;
 /** Time in which entries hear of a new leader and tell it what they were granted before, ms: they ask control every 0.4 s. */
-const beginningMs = 500;
+const startupMs = 500;
 /** What was granted is added up in slots of this length, ms; a slot counts until its youngest grant is out of the window. */
 const slotMs = 50;
 
 /** What was granted in one slot. */
 export type GrantedSlot = {slot: number; amount: number};
 
-const toleranceOf = ({ratePerSecond, burst}: WorkspaceLimit, {windowMs, overage, slack}: LimitTolerance): number =>
+const computeTolerance = ({ratePerSecond, burst}: WorkspaceLimit, {windowMs, overage, slack}: LimitTolerance): number =>
 	(((ratePerSecond * windowMs / msPerSecond) + burst) * overage) + slack;
 
 /** The window. Times are monotonic, ms. */
@@ -35,52 +35,52 @@
 	private readonly slots: GrantedSlot[] = [];
 	private sum = 0;
 	/** Granted since the beginning, by this leader. */
-	private sinceBeginning = 0;
+	private grantedSinceStart = 0;
 
-	constructor(private limit: WorkspaceLimit, private readonly tolerance: LimitTolerance, private readonly begunAt: number) {}
+	constructor(private limit: WorkspaceLimit, private readonly tolerance: LimitTolerance, private readonly startedAt: number) {}
 
 	/** Time after which the window allows a cost, ms; 0 when it does now. */
-	waitFor(cost: number, now: number): number {
-		this.forget(now);
-		return Math.max(this.waitForWindow(cost, now), this.waitForBeginning(cost, now));
+	computeWaitMs(cost: number, now: number): number {
+		this.dropExpired(now);
+		return Math.max(this.computeWindowWaitMs(cost, now), this.computeStartupWaitMs(cost, now));
 	}
 
 	/** Takes a cost that the window allows. */
 	take(cost: number, now: number): void {
 		this.add(cost, now);
-		this.sinceBeginning += cost;
+		this.grantedSinceStart += cost;
 	}
 
 	/**
 	 * What was taken and not used comes back. It is taken off what was granted first: off anything later, it would be missing there
 	 * when its own slot has left the window.
 	 */
-	giveBack(amount: number): void {
+	refund(amount: number): void {
 		this.slots.reduce((left, slot) => {
 			const back = Math.min(left, slot.amount);
 			slot.amount -= back;
 			this.sum -= back;
 			return left - back;
 		}, amount);
-		this.sinceBeginning = Math.max(0, this.sinceBeginning - amount);
+		this.grantedSinceStart = Math.max(0, this.grantedSinceStart - amount);
 	}
 
 	/** Another leader granted this so long ago, ms. */
-	addFormer(amount: number, ageMs: number, now: number): void {
+	addPriorGrant(amount: number, ageMs: number, now: number): void {
 		this.add(amount, now - ageMs);
 	}
 
 	/** A higher limit holds for what was granted before, too. */
-	raise(limit: WorkspaceLimit): void {
+	raiseLimit(limit: WorkspaceLimit): void {
 		this.limit = limit;
 	}
 
 	private get capacity(): number {
 		const {ratePerSecond, burst} = this.limit;
-		return (ratePerSecond * this.tolerance.windowMs / msPerSecond) + burst + (grantedPart * toleranceOf(this.limit, this.tolerance));
+		return (ratePerSecond * this.tolerance.windowMs / msPerSecond) + burst + (grantedToleranceRatio * computeTolerance(this.limit, this.tolerance));
 	}
 
-	private waitForWindow(cost: number, now: number): number {
+	private computeWindowWaitMs(cost: number, now: number): number {
 		// A request larger than all that a window may hold passes when the window is empty, or it would never pass.
 		let surplus = this.sum + Math.min(cost, this.capacity) - this.capacity;
 		if (surplus <= 0) {
@@ -91,26 +91,26 @@
 			surplus -= amount;
 			return surplus <= 0;
 		});
-		return freeing === undefined ? this.tolerance.windowMs : Math.max(1, this.endOf(freeing) - now);
+		return freeing === undefined ? this.tolerance.windowMs : Math.max(1, this.findExpiry(freeing) - now);
 	}
 
 	/** Until the entries have told, no more than a part of the tolerance. */
-	private waitForBeginning(cost: number, now: number): number {
-		const ageMs = now - this.begunAt;
-		if (ageMs >= beginningMs) {
+	private computeStartupWaitMs(cost: number, now: number): number {
+		const ageMs = now - this.startedAt;
+		if (ageMs >= startupMs) {
 			return 0;
 		}
 
-		const isWithinPart = this.sinceBeginning + cost <= beginningPart * toleranceOf(this.limit, this.tolerance);
-		return isWithinPart ? 0 : Math.ceil(beginningMs - ageMs);
+		const isWithinTolerance = this.grantedSinceStart + cost <= startupToleranceRatio * computeTolerance(this.limit, this.tolerance);
+		return isWithinTolerance ? 0 : Math.ceil(startupMs - ageMs);
 	}
 
 	private add(amount: number, at: number): void {
 		const slot = Math.floor(at / slotMs);
 		const index = this.slots.findLastIndex(each => each.slot <= slot);
-		const known = this.slots[index];
-		if (known?.slot === slot) {
-			known.amount += amount;
+		const existing = this.slots[index];
+		if (existing?.slot === slot) {
+			existing.amount += amount;
 		} else {
 			this.slots.splice(index + 1, 0, {slot, amount});
 		}
@@ -118,13 +118,13 @@
 		this.sum += amount;
 	}
 
-	private forget(now: number): void {
-		const kept = this.slots.findIndex(slot => this.endOf(slot) > now);
-		const gone = this.slots.splice(0, kept === -1 ? this.slots.length : kept);
-		this.sum = this.slots.length === 0 ? 0 : this.sum - gone.reduce((sum, {amount}) => sum + amount, 0);
+	private dropExpired(now: number): void {
+		const firstKept = this.slots.findIndex(slot => this.findExpiry(slot) > now);
+		const expired = this.slots.splice(0, firstKept === -1 ? this.slots.length : firstKept);
+		this.sum = this.slots.length === 0 ? 0 : this.sum - expired.reduce((sum, {amount}) => sum + amount, 0);
 	}
 
-	private endOf({slot}: GrantedSlot): number {
+	private findExpiry({slot}: GrantedSlot): number {
 		return ((slot + 1) * slotMs) + this.tolerance.windowMs;
 	}
 }
--- a/packages/mastvalve-access/src/presented-key.ts
+++ b/packages/mastvalve-access/src/presented-key.ts
@@ -21,14 +21,14 @@
 export type PresentedKey = {kind: KeyKind.Absent} | {kind: KeyKind.Malformed} | {kind: KeyKind.Presented; digest: string};
 
 /** The scheme in any case, blanks, and a key without blanks of at most 4,096 characters; headers may be longer. */
-const bearer = /^bearer +(?<key>[\w\-.~+\/]{1,4096}=*)$/iv;
+const bearerPattern = /^bearer +(?<key>[\w\-.~+\/]{1,4096}=*)$/iv;
 
 /** Reads the key. */
-export const readPresentedKey = (fields: readonly string[]): PresentedKey => {
+export const parsePresentedKey = (fields: readonly string[]): PresentedKey => {
 	if (fields.length === 0) {
 		return {kind: KeyKind.Absent};
 	}
 
-	const key = fields.length === 1 ? bearer.exec(fields[0]?.trim() ?? '')?.groups?.key : undefined;
+	const key = fields.length === 1 ? bearerPattern.exec(fields[0]?.trim() ?? '')?.groups?.key : undefined;
 	return key === undefined ? {kind: KeyKind.Malformed} : {kind: KeyKind.Presented, digest: digestKey(key)};
 };
--- a/packages/mastvalve-access/src/request-cost.ts
+++ b/packages/mastvalve-access/src/request-cost.ts
@@ -8,7 +8,7 @@
 export type DeclaredTokens = {prompt: number; output: number} | undefined;
 
 /** The cost, in the limit's unit. */
-export const costOf = ({unit, plainTokens}: WorkspaceLimit, declared: DeclaredTokens): number => {
+export const computeRequestCost = ({unit, plainTokens}: WorkspaceLimit, declared: DeclaredTokens): number => {
 	if (unit === LimitUnit.Requests) {
 		return 1;
 	}
--- a/packages/mastvalve-access/src/workspace-table.ts
+++ b/packages/mastvalve-access/src/workspace-table.ts
@@ -20,7 +20,7 @@
 		return this.byDigest.get(digest);
 	}
 
-	find(name: string): Workspace | undefined {
+	findByName(name: string): Workspace | undefined {
 		return this.byName.get(name);
 	}
 
--- a/packages/mastvalve-bench/src/access/access-bench.ts
+++ b/packages/mastvalve-bench/src/access/access-bench.ts
@@ -3,7 +3,7 @@
  */
 
 import {
-	digestKey, Evidence, judgeAccess, LimitLedger, LimitUnit, readPresentedKey, WorkspaceTable, type Workspace,
+	digestKey, KeyFreshness, authorizeRequest, LimitLedger, LimitUnit, parsePresentedKey, WorkspaceTable, type Workspace,
 } from 'mastvalve-access';
 import {systemClock} from 'mastvalve-utils';
 import type {BenchTable} from '../log/log-bench.js';
@@ -39,21 +39,21 @@
 const measureKeys = (keys: number): string[] => {
 	const workspaces = createWorkspaces(keys);
 	const table = new WorkspaceTable(workspaces);
-	const evidence = new Evidence(5000);
-	evidence.record(0, 0);
+	const evidence = new KeyFreshness(5000);
+	evidence.recordAnswer(0, 0);
 	const fields = Array.from({length: 100}, (_, index) => [`Bearer key-${index % workspaceCount}-${Math.floor(index / workspaceCount) % (keys / workspaceCount)}`]);
 	const read = measure(index => {
-		readPresentedKey(fields[index % fields.length]!);
+		parsePresentedKey(fields[index % fields.length]!);
 	});
-	const presented = fields.map(field => readPresentedKey(field));
+	const presented = fields.map(field => parsePresentedKey(field));
 	const judged = measure(index => {
-		judgeAccess({
-			key: presented[index % presented.length]!, workspaces: table, isAnonymous: false, isSure: evidence.isSure(index % 1000),
+		authorizeRequest({
+			key: presented[index % presented.length]!, workspaces: table, isAnonymous: false, hasFreshKeys: evidence.isFresh(index % 1000),
 		});
 	});
 	const ledger = new LimitLedger({windowMs: 8000, overage: 0.1, slack: 17_000}, -1000);
 	const settled = measure(index => {
-		ledger.settle(workspaces[index % workspaceCount]!, 100, index / 10);
+		ledger.applyClaim(workspaces[index % workspaceCount]!, 100, index / 10);
 	});
 	return [String(keys), ...[read, judged, settled].map(us => us.toFixed(2))];
 };
--- a/packages/mastvalve-fleet-control/src/freshness-tracker.ts
+++ b/packages/mastvalve-fleet-control/src/freshness-tracker.ts
@@ -4,7 +4,7 @@
  * way for long.
  */
 
-import {ProvenMoment} from 'mastvalve-access';
+import {ConfirmedTime} from 'mastvalve-access';
 import type {ControlGroup} from 'mastvalve-cluster';
 import {repeatUntilAborted, SuspensionWatch, type Clock} from 'mastvalve-utils';
 
@@ -20,7 +20,7 @@
 
 /** The moment. Times are monotonic, ms. */
 export class FreshnessTracker {
-	private readonly proven = new ProvenMoment();
+	private readonly proven = new ConfirmedTime();
 	private readonly suspension: SuspensionWatch;
 
 	constructor(private readonly options: FreshnessTrackerOptions) {
@@ -34,7 +34,7 @@
 			return this.options.clock.now();
 		}
 
-		return this.proven.at === Number.NEGATIVE_INFINITY ? undefined : this.proven.at;
+		return this.proven.latestAt === Number.NEGATIVE_INFINITY ? undefined : this.proven.latestAt;
 	}
 
 	/** All that was committed up to a moment was read from the leader, in a question that began then. */
@@ -58,7 +58,7 @@
 
 	private endIfSuspended(): void {
 		if (this.suspension.hasJumped()) {
-			this.proven.distrust(this.options.clock.now());
+			this.proven.invalidate(this.options.clock.now());
 		}
 	}
 }
--- a/packages/mastvalve-fleet-control/src/limit-service.ts
+++ b/packages/mastvalve-fleet-control/src/limit-service.ts
@@ -4,11 +4,11 @@
  */
 
 import {
-	LimitLedger, WorkspaceTable, type FormerGrant, type LimitClaim, type LimitTolerance,
+	LimitLedger, WorkspaceTable, type PriorGrant, type LimitClaim, type LimitTolerance,
 } from 'mastvalve-access';
 import {EndpointPhase, type FleetEndpoint, type ServingConfiguration} from 'mastvalve-fleet';
 import {
-	EndpointLimits, type AccountMoment, type EndpointLimit, type HandoverClaim, type HandoverGrant, type ToldWord,
+	EndpointLimits, type LimitTimestamp, type EndpointLimit, type PermitClaim, type PermitResult, type LimitReport,
 } from 'mastvalve-limits';
 
 /** What it is made from. */
@@ -27,15 +27,15 @@
 	entry: string;
 	claims: LimitClaim[];
 	/** What answers of endpoints said of their limits. */
-	words: ToldWord[];
+	words: LimitReport[];
 	/** Requests for limited endpoints, the most urgent first. */
-	handovers: HandoverClaim[];
+	handovers: PermitClaim[];
 	/** Limited endpoints that did not get a request which was let through. */
 	unused: string[];
 	/** Reservations whose requests wait no more. */
 	released: string[];
 	/** What the entry was granted before; missing when it has told this leader already. */
-	history?: FormerGrant[];
+	history?: PriorGrant[];
 };
 
 /** The answer. */
@@ -43,9 +43,9 @@
 	/** For each claim in its order 0, or the time until it can be taken, ms. */
 	waitMs: number[];
 	/** For each request for a limited endpoint. */
-	grants: HandoverGrant[];
+	grants: PermitResult[];
 	/** When these requests were let through. */
-	grantedAt: AccountMoment;
+	grantedAt: LimitTimestamp;
 	/** Set when this leader doesn't know what the entry was granted before; nothing was taken then. */
 	needsHistory: boolean;
 };
@@ -71,38 +71,38 @@
 		if (history && !heard.has(entry)) {
 			heard.add(entry);
 			history.forEach(grant => {
-				const known = workspaces?.find(grant.workspace);
+				const known = workspaces?.findByName(grant.workspace);
 				if (known) {
-					ledger.addFormer(known, grant, now);
+					ledger.addPriorGrant(known, grant, now);
 				}
 			});
 		}
 
 		if (!heard.has(entry)) {
 			return {
-				waitMs: [], grants: [], grantedAt: endpoints.moment, needsHistory: true,
+				waitMs: [], grants: [], grantedAt: endpoints.timestamp, needsHistory: true,
 			};
 		}
 
 		words.forEach(word => {
-			endpoints.hear(word, now);
+			endpoints.recordReport(word, now);
 		});
 		unused.forEach(endpoint => {
-			endpoints.giveBack(endpoint);
+			endpoints.returnPermit(endpoint);
 		});
 		released.forEach(reservation => {
-			endpoints.release(reservation);
+			endpoints.releaseReservation(reservation);
 		});
 
 		return {
 			needsHistory: false,
 			waitMs: claims.map(({workspace, cost}) => {
-				const known = workspaces?.find(workspace);
+				const known = workspaces?.findByName(workspace);
 				// A workspace that is gone has no limit here; the entry refuses its keys by itself.
-				return known ? ledger.settle(known, cost, now) : 0;
+				return known ? ledger.applyClaim(known, cost, now) : 0;
 			}),
 			grants: handovers.map(claim => endpoints.claim(claim, now)),
-			grantedAt: endpoints.moment,
+			grantedAt: endpoints.timestamp,
 		};
 	}
 
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
@@ -9,7 +9,7 @@
 } from 'mastvalve-fleet-control';
 import {FleetCommandKind, type FleetCommand, type FleetEndpoint} from 'mastvalve-fleet';
 import {
-	LimitWordKind, RateBucket, readLimitWord, type AccountMoment,
+	LimitHeaderKind, TokenBucket, parseLimitHeader, type LimitTimestamp,
 } from 'mastvalve-limits';
 import {assumeType, createRandom, type Random} from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
@@ -65,7 +65,7 @@
 const patienceMs = 4000;
 const maxStayMs = 2000;
 
-type Entry = {isCut: boolean; board: EndpointBoard; limiter: EndpointLimiter; view: Map<string, FleetEndpoint>; buckets: Map<string, RateBucket>; ending: AbortController; told: Map<string, {namedAt: number; at: number}>};
+type Entry = {isCut: boolean; board: EndpointBoard; limiter: EndpointLimiter; view: Map<string, FleetEndpoint>; buckets: Map<string, TokenBucket>; ending: AbortController; told: Map<string, {namedAt: number; at: number}>};
 /** `isTold` says whether its entry had passed on an answer that names the present limit, long enough before. */
 type Arrival = {at: number; urgency: number; isTold: boolean};
 type VirtualEndpoint = {id: string; word: string | undefined; namedAt: number; arrivals: Arrival[]};
@@ -197,7 +197,7 @@
 			entry: `entry ${index} ${this.random()}`,
 			client: {call: async ({body}) => this.call(entry, assumeType<LimitRequest>(body))},
 			readLeader: () => 'leader',
-			readEntries: () => this.options.entries,
+			readEntryCount: () => this.options.entries,
 			random: this.random,
 			now,
 			windowMs: 8000,
@@ -308,11 +308,11 @@
 	private claimByItself(entry: Entry, id: string): HandoverOutcome {
 		const now = this.time.clock.now();
 		const perSecond = entry.limiter.limitOf(createEndpoint(id));
-		const bucket = entry.buckets.get(id) ?? new RateBucket(perSecond ?? 1, now, 1);
+		const bucket = entry.buckets.get(id) ?? new TokenBucket(perSecond ?? 1, now, 1);
 		entry.buckets.set(id, bucket);
-		const waitMs = perSecond === undefined ? 0 : bucket.waitMs(now);
+		const waitMs = perSecond === undefined ? 0 : bucket.computeWaitMs(now);
 		if (waitMs === 0) {
-			bucket.take();
+			bucket.takePermit();
 		}
 
 		return {
@@ -320,20 +320,20 @@
 		};
 	}
 
-	private handOver(entry: Entry, endpoint: VirtualEndpoint, urgency: number, grantedAt: AccountMoment | undefined): void {
+	private handOver(entry: Entry, endpoint: VirtualEndpoint, urgency: number, grantedAt: LimitTimestamp | undefined): void {
 		void (async () => {
 			await this.time.wait(wayMs);
 			const told = entry.told.get(endpoint.id);
 			const at = this.time.clock.now();
 			endpoint.arrivals.push({at, urgency, isTold: told?.namedAt === endpoint.namedAt && at - told.at >= toldMs});
 			const {namedAt} = endpoint;
-			const word = readLimitWord(endpoint.word);
+			const word = parseLimitHeader(endpoint.word);
 			await this.time.wait(minAnswerMs + (this.random() * ((this.options.maxAnswerMs ?? usualAnswerMs) - minAnswerMs)));
 			if ((entry.told.get(endpoint.id)?.namedAt ?? Number.NEGATIVE_INFINITY) < namedAt) {
 				entry.told.set(endpoint.id, {namedAt, at: this.time.clock.now()});
 			}
 
-			const isUnheard = word.kind === LimitWordKind.Absent && this.options.fault === LimitFault.AnyAnswerEnds;
+			const isUnheard = word.kind === LimitHeaderKind.Absent && this.options.fault === LimitFault.AnyAnswerEnds;
 			const toldAt = isUnheard ? {term: this.term, number: Number.MAX_SAFE_INTEGER} : grantedAt;
 			entry.limiter.hear(entry.view.get(endpoint.id) ?? createEndpoint(endpoint.id), word, toldAt);
 		})();
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
@@ -5,14 +5,14 @@
 import {Buffer} from 'node:buffer';
 import {Agent, request} from 'node:http';
 import {connect} from 'node:net';
-import {readPresentedKey, type Workspace} from 'mastvalve-access';
+import {parsePresentedKey, type Workspace} from 'mastvalve-access';
 import {PeerError} from 'mastvalve-cluster';
 import type {LimitRequest} from 'mastvalve-fleet-control';
 import {
 	ConfigurationChangeKind, EndpointPhase, RouteKind,
 	type ConfigurationChange, type ConfigurationFrame, type ExpectedLoad, type FleetEndpoint, type Route,
 } from 'mastvalve-fleet';
-import {readLimitWord, readRetryAfter} from 'mastvalve-limits';
+import {parseLimitHeader, parseRetryAfter} from 'mastvalve-limits';
 import {
 	assumeType, createRandom, systemClock, waitFor,
 } from 'mastvalve-utils';
@@ -38,14 +38,14 @@
 		resumeAfter: undefined,
 	}),
 	fieldOwners: new Map([['x-resume', FieldOwner.Entry], ['x-workspace', FieldOwner.Entry], ['content-length', FieldOwner.Entry], ['authorization', FieldOwner.Credentials]]),
-	readKey: rawHeaders => readPresentedKey(rawHeaders.filter((_, index) => index % 2 === 1 && rawHeaders[index - 1]?.toLowerCase() === 'authorization')),
+	readKey: rawHeaders => parsePresentedKey(rawHeaders.filter((_, index) => index % 2 === 1 && rawHeaders[index - 1]?.toLowerCase() === 'authorization')),
 	writeEndpoint: ({resumeAfter, workspace, bodyLength}) => [
 		...(workspace === undefined ? [] : ['x-workspace', workspace]),
 		...(resumeAfter === undefined ? [] : ['x-resume', resumeAfter]),
 		...(bodyLength === undefined ? [] : ['content-length', String(bodyLength)]),
 	],
 	readAnswer: (_status, headers, rawHeaders) => ({
-		requestId: textOf(headers['x-id']), endpointName: textOf(headers['x-endpoint']), isNotRun: headers['x-not-run'] !== undefined, isMisdirected: headers['x-misdirected'] !== undefined, load: undefined, limit: readLimitWord(textOf(headers['x-limit'])), retryAfter: readRetryAfter(rawHeaders.filter((_, index) => rawHeaders[index - 1]?.toLowerCase() === 'retry-after')), isLeaving: headers['x-leaving'] === '1',
+		requestId: textOf(headers['x-id']), endpointName: textOf(headers['x-endpoint']), isNotRun: headers['x-not-run'] !== undefined, isMisdirected: headers['x-misdirected'] !== undefined, load: undefined, limit: parseLimitHeader(textOf(headers['x-limit'])), retryAfter: parseRetryAfter(rawHeaders.filter((_, index) => rawHeaders[index - 1]?.toLowerCase() === 'retry-after')), isLeaving: headers['x-leaving'] === '1',
 	}),
 };
 
@@ -107,7 +107,7 @@
 		});
 		const limits = new LimitClient({
 			entry: 'entry',
-			client: {call: async ({body}) => this.answerClaims(body)}, readLeader: () => 'leader', readEntries: () => 1, random: createRandom(1), now, windowMs: 8000, signal: this.ending.signal, wait: waitFor, onEvent: () => undefined,
+			client: {call: async ({body}) => this.answerClaims(body)}, readLeader: () => 'leader', readEntryCount: () => 1, random: createRandom(1), now, windowMs: 8000, signal: this.ending.signal, wait: waitFor, onEvent: () => undefined,
 		});
 		this.gateway = new Gateway({
 			failureDomain: 'a',
--- a/packages/mastvalve-gateway/__tests__/disconnected-entry.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/disconnected-entry.steps.ts
@@ -27,7 +27,7 @@
 			},
 		},
 		readLeader: () => 'leader',
-		readEntries: () => 1,
+		readEntryCount: () => 1,
 		random: () => 0,
 		now: () => systemClock.now(),
 		windowMs: 8000,
--- a/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
@@ -117,7 +117,7 @@
 });
 
 Then('the endpoint is still backed off from', function (this: BackoffWorld) {
-	assert.equal(this.board.find('b').backoff.judge(1).kind, AdmissionKind.At);
+	assert.equal(this.board.find('b').backoff.checkAdmission(1).kind, AdmissionKind.At);
 });
 
 Given('{int} requests that wait for capacity, every tenth of them urgent', function (this: BackoffWorld, count: number) {
--- a/packages/mastvalve-gateway/src/access/access-checker.ts
+++ b/packages/mastvalve-gateway/src/access/access-checker.ts
@@ -3,7 +3,7 @@
  */
 
 import {
-	AccessKind, Evidence, judgeAccess, type Access, type PresentedKey,
+	AccessKind, KeyFreshness, authorizeRequest, type AccessDecision, type PresentedKey,
 } from 'mastvalve-access';
 import type {Route} from 'mastvalve-fleet';
 import {SuspensionWatch, type Clock} from 'mastvalve-utils';
@@ -24,19 +24,19 @@
 
 /** The checker. */
 export class AccessChecker {
-	private readonly evidence: Evidence;
+	private readonly evidence: KeyFreshness;
 	private readonly suspension: SuspensionWatch;
 
 	constructor(private readonly options: AccessCheckerOptions) {
-		this.evidence = new Evidence(options.keyRevocationMs);
+		this.evidence = new KeyFreshness(options.keyRevocationMs);
 		this.suspension = new SuspensionWatch(options.clock);
 	}
 
 	/** Judges a request at this moment. */
-	judge(key: PresentedKey, route: Pick<Route, 'isAnonymous'>): Access {
+	judge(key: PresentedKey, route: Pick<Route, 'isAnonymous'>): AccessDecision {
 		const workspaces = this.options.view.configuration?.workspaces;
-		return judgeAccess({
-			key, workspaces, isAnonymous: route.isAnonymous, isSure: this.isSure,
+		return authorizeRequest({
+			key, workspaces, isAnonymous: route.isAnonymous, hasFreshKeys: this.isSure,
 		});
 	}
 
@@ -47,32 +47,32 @@
 
 	/** Whether the evidence was ended by a suspension and is expected back. */
 	get isAwaiting(): boolean {
-		return !this.canJudge && this.evidence.isAwaited(this.options.clock.now(), evidenceWaitMs);
+		return !this.canJudge && this.evidence.isAwaitingRenewal(this.options.clock.now(), evidenceWaitMs);
 	}
 
 	/** Age of the evidence, ms. */
 	get evidenceAgeMs(): number {
-		return this.evidence.ageAt(this.options.clock.now());
+		return this.evidence.computeAgeMs(this.options.clock.now());
 	}
 
 	/** Control answered a question that was asked at `askedAt`. */
 	recordAnswer(askedAt: number, sureAfterMs: number): void {
 		this.endIfSuspended();
-		this.evidence.record(askedAt, sureAfterMs);
+		this.evidence.recordAnswer(askedAt, sureAfterMs);
 	}
 
 	private get isSure(): boolean {
 		this.endIfSuspended();
-		return this.evidence.isSure(this.options.clock.now());
+		return this.evidence.isFresh(this.options.clock.now());
 	}
 
 	private endIfSuspended(): void {
 		if (this.suspension.hasJumped()) {
-			this.evidence.distrust(this.options.clock.now());
+			this.evidence.invalidate(this.options.clock.now());
 			this.options.onSuspended();
 		}
 	}
 }
 
 /** Whether a request may go on. */
-export const isGranted = (access: Access): access is Extract<Access, {kind: AccessKind.Granted}> => access.kind === AccessKind.Granted;
+export const isGranted = (access: AccessDecision): access is Extract<AccessDecision, {kind: AccessKind.Granted}> => access.kind === AccessKind.Granted;
--- a/packages/mastvalve-gateway/src/access/admit-caller.ts
+++ b/packages/mastvalve-gateway/src/access/admit-caller.ts
@@ -4,7 +4,7 @@
  */
 
 import {
-	AccessKind, costOf, type PresentedKey, type Workspace,
+	AccessKind, computeRequestCost, type PresentedKey, type Workspace,
 } from 'mastvalve-access';
 import type {Route} from 'mastvalve-fleet';
 import type {CallerHeaders} from '../dialect.js';
@@ -29,9 +29,9 @@
 export type AdmissionInput = {requestId: string; route: Route; caller: CallerHeaders; key: PresentedKey};
 
 /** What a caller is told whose key does not let it in. */
-export const keyRefusals: Record<AccessKind.Unknown | AccessKind.Unsure, ProblemAnswer> = {
-	[AccessKind.Unknown]: {status: 401, code: 'key-unknown', message: 'No workspace holds the key of this request. Nothing was run.'},
-	[AccessKind.Unsure]: {
+export const keyRefusals: Record<AccessKind.UnknownKey | AccessKind.StaleKeys, ProblemAnswer> = {
+	[AccessKind.UnknownKey]: {status: 401, code: 'key-unknown', message: 'No workspace holds the key of this request. Nothing was run.'},
+	[AccessKind.StaleKeys]: {
 		status: 503, code: 'keys-unsure', message: 'This entry can\'t tell at this moment which keys are valid. Nothing was run.', retryAfterSeconds: unsureRetrySeconds,
 	},
 };
@@ -53,7 +53,7 @@
 		return {key, workspace, cost: 0};
 	}
 
-	const cost = costOf(workspace.limit, caller.declaredTokens);
+	const cost = computeRequestCost(workspace.limit, caller.declaredTokens);
 	const {isTaken, waitMs} = await core.limits.claim(workspace.name, cost);
 	if (isTaken) {
 		return {key, workspace, cost};
--- a/packages/mastvalve-gateway/src/dialect.ts
+++ b/packages/mastvalve-gateway/src/dialect.ts
@@ -4,7 +4,7 @@
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {PresentedKey} from 'mastvalve-access';
-import type {LimitWord, RetryAfter} from 'mastvalve-limits';
+import type {LimitHeader, RetryAfter} from 'mastvalve-limits';
 
 /** What a caller's headers say. */
 export type CallerHeaders = {
@@ -53,7 +53,7 @@
 	isMisdirected: boolean;
 	load: ReportedLoad | undefined;
 	/** What it says of the requests that it takes from all entries together. */
-	limit: LimitWord;
+	limit: LimitHeader;
 	/** How long its sender asks this entry to send nothing. */
 	retryAfter: RetryAfter;
 	/** Its sender is about to end and takes no new requests. */
--- a/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
+++ b/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
@@ -5,7 +5,7 @@
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
 import {
-	LimitWordKind, type AccountMoment, type HandoverClaim, type LimitWord,
+	LimitHeaderKind, type LimitTimestamp, type PermitClaim, type LimitHeader,
 } from 'mastvalve-limits';
 import type {FleetView} from '../fleet/fleet-view.js';
 import type {EndpointBoard} from '../routing/endpoint-board.js';
@@ -30,7 +30,7 @@
 type OwnWord = {perSecond: number; until: number};
 
 /** What a request asks of limited endpoints. */
-export type HandoverWish = Omit<HandoverClaim, 'endpoints'>;
+export type HandoverWish = Omit<PermitClaim, 'endpoints'>;
 
 /** The limiter. */
 export class EndpointLimiter {
@@ -85,16 +85,16 @@
 	}
 
 	/** A permit that was claimed is not used. */
-	giveBack({id}: FleetEndpoint, grantedAt: AccountMoment | undefined): void {
+	giveBack({id}: FleetEndpoint, grantedAt: LimitTimestamp | undefined): void {
 		if (grantedAt) {
 			this.options.client.giveBackHandover(id);
 		}
 	}
 
 	/** Hears what an answer of an endpoint says. */
-	hear(endpoint: FleetEndpoint, word: LimitWord, grantedAt: AccountMoment | undefined): void {
-		const isNews = word.kind === LimitWordKind.Named && this.noteOwn(endpoint, word.perSecond);
-		const isAsked = grantedAt !== undefined && word.kind !== LimitWordKind.Unreadable;
+	hear(endpoint: FleetEndpoint, word: LimitHeader, grantedAt: LimitTimestamp | undefined): void {
+		const isNews = word.kind === LimitHeaderKind.Rate && this.noteOwn(endpoint, word.perSecond);
+		const isAsked = grantedAt !== undefined && word.kind !== LimitHeaderKind.Malformed;
 		if (isNews || isAsked) {
 			this.options.client.tell({endpoint: endpoint.id, word, grantedAt});
 		}
--- a/packages/mastvalve-gateway/src/limits/leader-account.ts
+++ b/packages/mastvalve-gateway/src/limits/leader-account.ts
@@ -50,7 +50,7 @@
 			return answer;
 		}
 
-		const told = await this.call({...question, history: history.list(now())});
+		const told = await this.call({...question, history: history.listPriorGrants(now())});
 		return told?.needsHistory === false ? told : undefined;
 	}
 
--- a/packages/mastvalve-gateway/src/limits/limit-batch.ts
+++ b/packages/mastvalve-gateway/src/limits/limit-batch.ts
@@ -4,7 +4,7 @@
 
 import type {LimitClaim} from 'mastvalve-access';
 import type {
-	AccountMoment, HandoverClaim, HandoverGrant, ToldWord,
+	LimitTimestamp, PermitClaim, PermitResult, LimitReport,
 } from 'mastvalve-limits';
 import type {AccountQuestion} from './leader-account.js';
 
@@ -12,9 +12,9 @@
 export type ClaimOutcome = {isTaken: boolean; waitMs: number};
 
 /** The answer to a request for a limited endpoint. */
-export type HandoverOutcome = HandoverGrant & {
+export type HandoverOutcome = PermitResult & {
 	/** When it was let through; undefined when nobody counted. */
-	grantedAt: AccountMoment | undefined;
+	grantedAt: LimitTimestamp | undefined;
 };
 
 /** A claim of a workspace that waits for its answer. */
@@ -22,7 +22,7 @@
 
 /** A request for a limited endpoint that waits for its answer. */
 export type WaitingHandover = {
-	claim: HandoverClaim;
+	claim: PermitClaim;
 	/** The limits as this entry knows them, by endpoint, requests a second. */
 	perSecond: ReadonlyMap<string, number>;
 	resolve: (outcome: HandoverOutcome) => void;
@@ -40,7 +40,7 @@
 	readonly released: string[] = [];
 
 	/** `words` is what answers said of limits. */
-	constructor(readonly words: ToldWord[] = []) {}
+	constructor(readonly words: LimitReport[] = []) {}
 
 	/** Whether somebody waits for the call or for what it gives back, or there is a word to tell. */
 	get isDue(): boolean {
--- a/packages/mastvalve-gateway/src/limits/limit-client.ts
+++ b/packages/mastvalve-gateway/src/limits/limit-client.ts
@@ -4,10 +4,10 @@
  * had here, and each limited endpoint gets this entry's part of its limit.
  */
 
-import {GrantHistory, LocalLimits, type LimitClaim} from 'mastvalve-access';
+import {GrantHistory, DisconnectedLimits, type LimitClaim} from 'mastvalve-access';
 import type {LimitResponse} from 'mastvalve-fleet-control';
 import {
-	LocalRates, type HandoverClaim, type HandoverGrant, type ToldWord,
+	DisconnectedRates, type PermitClaim, type PermitResult, type LimitReport,
 } from 'mastvalve-limits';
 import {emptyQuestion, LeaderAccount, type LeaderAccountOptions} from './leader-account.js';
 import {
@@ -21,7 +21,7 @@
 	/** Numbers in [0, 1). */
 	random: () => number;
 	/** How many entries share the limits of endpoints; undefined when control has told none. */
-	readEntries: () => number | undefined;
+	readEntryCount: () => number | undefined;
 	/** Waits so many ms, or until the signal aborts. */
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	onEvent: (kind: string, detail: string) => void;
@@ -35,7 +35,7 @@
 const maxWaitingWords = 200;
 
 /** A leader that answers fewer claims than it was asked. */
-const noGrant: HandoverGrant = {endpoint: undefined, waitMs: disconnectedRetryMs, reservation: undefined};
+const noGrant: PermitResult = {endpoint: undefined, waitMs: disconnectedRetryMs, reservation: undefined};
 
 /** The client. */
 export class LimitClient {
@@ -45,21 +45,21 @@
 	private isCalling = false;
 	private readonly account: LeaderAccount;
 	private readonly history: GrantHistory;
-	private readonly localLimits: LocalLimits;
-	private readonly localRates: LocalRates;
+	private readonly localLimits: DisconnectedLimits;
+	private readonly localRates: DisconnectedRates;
 	/** The leader that was told what this entry was granted before. */
 	private knownLeader: string | undefined;
 
 	constructor(private readonly options: LimitClientOptions) {
 		this.history = new GrantHistory(options.windowMs);
-		this.localLimits = new LocalLimits(this.history, options.windowMs);
-		this.localRates = new LocalRates(options);
+		this.localLimits = new DisconnectedLimits(this.history, options.windowMs);
+		this.localRates = new DisconnectedRates(options);
 		this.account = new LeaderAccount({...options, history: this.history});
 	}
 
 	/** Entries that share the limits of endpoints; undefined when control has told none. */
 	get entries(): number | undefined {
-		return this.options.readEntries();
+		return this.options.readEntryCount();
 	}
 
 	/** Claims what a request costs its workspace. */
@@ -83,7 +83,7 @@
 	}
 
 	/** Claims a permit at one of several endpoints. `perSecond` tells their limits as far as this entry knows them. */
-	async claimHandover(claim: HandoverClaim, perSecond: ReadonlyMap<string, number>): Promise<HandoverOutcome> {
+	async claimHandover(claim: PermitClaim, perSecond: ReadonlyMap<string, number>): Promise<HandoverOutcome> {
 		if (this.isDisconnected) {
 			return this.decideHandoverLocally(claim, perSecond);
 		}
@@ -110,7 +110,7 @@
 	}
 
 	/** Tells the leader what an answer said of its endpoint's limit. */
-	tell(word: ToldWord): void {
+	tell(word: LimitReport): void {
 		this.next.words.push(word);
 		this.next.words.splice(0, this.next.words.length - maxWaitingWords);
 		if (!this.isDisconnected) {
@@ -193,7 +193,7 @@
 
 	private decideLocally({workspace, cost}: LimitClaim): ClaimOutcome {
 		const now = this.options.now();
-		const isTaken = this.localLimits.mayTake(workspace, cost, now);
+		const isTaken = this.localLimits.mayGrant(workspace, cost, now);
 		if (isTaken) {
 			this.history.record(workspace, cost, now);
 		}
@@ -201,7 +201,7 @@
 		return {isTaken, waitMs: disconnectedRetryMs};
 	}
 
-	private decideHandoverLocally({endpoints}: HandoverClaim, perSecond: ReadonlyMap<string, number>): HandoverOutcome {
+	private decideHandoverLocally({endpoints}: PermitClaim, perSecond: ReadonlyMap<string, number>): HandoverOutcome {
 		return {...this.localRates.claim(endpoints, perSecond, this.options.now()), grantedAt: undefined};
 	}
 
@@ -212,7 +212,7 @@
 		}
 
 		this.isDisconnected = true;
-		this.localLimits.begin(this.options.now());
+		this.localLimits.disconnect(this.options.now());
 		this.options.onEvent('limits.disconnected', 'no leader answers for limits; each workspace goes on by what it had here, and limited endpoints get this entry\'s part');
 		void this.findLeader();
 	}
@@ -224,8 +224,8 @@
 			const answers = await this.account.ask(emptyQuestion);
 			if (answers) {
 				this.isDisconnected = false;
-				this.localLimits.end();
-				this.localRates.clear();
+				this.localLimits.reconnect();
+				this.localRates.reset();
 				onEvent('limits.regained', 'a leader answers for limits');
 				void this.callWhileDue();
 			} else {
--- a/packages/mastvalve-gateway/src/requests/claim-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/claim-endpoint.ts
@@ -4,7 +4,7 @@
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
-import type {AccountMoment} from 'mastvalve-limits';
+import type {LimitTimestamp} from 'mastvalve-limits';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
 import {hasUnlimitedCandidate, listLimitedCandidates} from './select-endpoint.js';
@@ -20,7 +20,7 @@
 export type ClaimedEndpoint = {
 	endpoint: FleetEndpoint;
 	/** When its limit let the request through; undefined for one without a limit. */
-	grantedAt: AccountMoment | undefined;
+	grantedAt: LimitTimestamp | undefined;
 };
 
 /** Gives up the turn that a request waits for. */
--- a/packages/mastvalve-gateway/src/requests/record-answer-head.ts
+++ b/packages/mastvalve-gateway/src/requests/record-answer-head.ts
@@ -3,7 +3,7 @@
  */
 
 import {parseIncarnation, type FleetEndpoint} from 'mastvalve-fleet';
-import {LimitWordKind, RetryAfterKind} from 'mastvalve-limits';
+import {LimitHeaderKind, RetryAfterKind} from 'mastvalve-limits';
 import type {AnswerHeaders} from '../dialect.js';
 import {formatModel} from '../routing/model-demand.js';
 import type {EndpointUse} from '../routing/endpoint-board.js';
@@ -17,7 +17,7 @@
 const logLimitChange = (core: GatewayCore, {requestId}: CallerRequest, endpoint: string, {limit}: AnswerHeaders): void => {
 	if (core.board.recordLimitWord(endpoint, limit)) {
 		core.log('endpoint.limit-told', {
-			request: requestId, endpoint, word: limit.kind, perSecond: limit.kind === LimitWordKind.Named ? limit.perSecond : undefined,
+			request: requestId, endpoint, word: limit.kind, perSecond: limit.kind === LimitHeaderKind.Rate ? limit.perSecond : undefined,
 		});
 	}
 };
--- a/packages/mastvalve-gateway/src/routing/choose-endpoint.ts
+++ b/packages/mastvalve-gateway/src/routing/choose-endpoint.ts
@@ -129,7 +129,7 @@
 /** When an endpoint may be sent the request, or asked whether it may. */
 const judgeEndpoint = ({id}: FleetEndpoint, {askAgainAt, now, knowledgeOf}: EndpointChoiceInput): Admission => {
 	const askAt = askAgainAt.get(id) ?? Number.NEGATIVE_INFINITY;
-	const backoff = knowledgeOf(id).backoff.judge(now);
+	const backoff = knowledgeOf(id).backoff.checkAdmission(now);
 	if (backoff.kind === AdmissionKind.At) {
 		return {...backoff, at: Math.max(backoff.at, askAt)};
 	}
@@ -170,6 +170,6 @@
 	listHolders(input).map(endpoint => {
 		const admission = judgeEndpoint(endpoint, input);
 		const {backoff} = input.knowledgeOf(endpoint.id);
-		const isBackedOff = backoff.judge(input.now).kind === AdmissionKind.At;
-		return {admission, isReliable: !isBackedOff || backoff.isReliable};
+		const isBackedOff = backoff.checkAdmission(input.now).kind === AdmissionKind.At;
+		return {admission, isReliable: !isBackedOff || backoff.isRecoveryLikely};
 	});
--- a/packages/mastvalve-gateway/src/routing/endpoint-board.ts
+++ b/packages/mastvalve-gateway/src/routing/endpoint-board.ts
@@ -3,7 +3,7 @@
  */
 
 import {
-	AdmissionKind, EndpointBackoff, LimitWordKind, type LimitWord,
+	AdmissionKind, EndpointBackoff, LimitHeaderKind, type LimitHeader,
 } from 'mastvalve-limits';
 import type {ReportedLoad} from '../dialect.js';
 
@@ -36,7 +36,7 @@
 	/** It had no permit for a request of this entry, and has one then, ms. */
 	permitAt: number;
 	/** What the last of its answers said of its limit. */
-	limitWord: LimitWord;
+	limitWord: LimitHeader;
 	/** What its refusals asked for. */
 	backoff: EndpointBackoff;
 	/** Whether another endpoint was met at its address. */
@@ -67,7 +67,7 @@
 	end: () => void;
 };
 
-const describeWord = (word: LimitWord): string => (word.kind === LimitWordKind.Named ? String(word.perSecond) : word.kind);
+const describeWord = (word: LimitHeader): string => (word.kind === LimitHeaderKind.Rate ? String(word.perSecond) : word.kind);
 
 /** The board. */
 export class EndpointBoard {
@@ -78,7 +78,7 @@
 
 	find(id: string): EndpointKnowledge {
 		const knowledge = this.known.get(id) ?? {
-			inFlight: 0, unread: 0, unreadTokens: 0, load: undefined, loadAt: Number.NEGATIVE_INFINITY, delay: 0, delayAt: Number.NEGATIVE_INFINITY, suspectUntil: 0, failures: 0, absentUntil: 0, heardAt: Number.NEGATIVE_INFINITY, busySince: 0, lacks: new Map<string, number>(), permitAt: 0, limitWord: {kind: LimitWordKind.Absent}, backoff: new EndpointBackoff(), isReplaced: false, isLeaving: false,
+			inFlight: 0, unread: 0, unreadTokens: 0, load: undefined, loadAt: Number.NEGATIVE_INFINITY, delay: 0, delayAt: Number.NEGATIVE_INFINITY, suspectUntil: 0, failures: 0, absentUntil: 0, heardAt: Number.NEGATIVE_INFINITY, busySince: 0, lacks: new Map<string, number>(), permitAt: 0, limitWord: {kind: LimitHeaderKind.Absent}, backoff: new EndpointBackoff(), isReplaced: false, isLeaving: false,
 		};
 		this.known.set(id, knowledge);
 		return knowledge;
@@ -101,7 +101,7 @@
 			unread = 0;
 		};
 
-		const backoffUse = knowledge.backoff.begin();
+		const backoffUse = knowledge.backoff.beginRequest();
 		const notifyIf = (mayTakeMore: boolean): void => {
 			if (mayTakeMore) {
 				this.onChange();
@@ -109,7 +109,7 @@
 		};
 
 		const answer = (isTaken: boolean): void => {
-			notifyIf(backoffUse.answer(isTaken));
+			notifyIf(backoffUse.recordAnswer(isTaken));
 		};
 
 		return {
@@ -119,7 +119,7 @@
 				read();
 				knowledge.inFlight -= isOpen ? 1 : 0;
 				isOpen = false;
-				notifyIf(backoffUse.end());
+				notifyIf(backoffUse.finish());
 			},
 		};
 	}
@@ -160,7 +160,7 @@
 	}
 
 	/** An answer said something of its limit; whether that is news. */
-	recordLimitWord(id: string, word: LimitWord): boolean {
+	recordLimitWord(id: string, word: LimitHeader): boolean {
 		const knowledge = this.find(id);
 		const isNews = describeWord(knowledge.limitWord) !== describeWord(word);
 		knowledge.limitWord = word;
@@ -188,7 +188,7 @@
 	/** Whether a request that was to go there may still be sent. */
 	admits(id: string): boolean {
 		const {isLeaving, backoff} = this.find(id);
-		return !isLeaving && backoff.judge(this.now()).kind === AdmissionKind.Now;
+		return !isLeaving && backoff.checkAdmission(this.now()).kind === AdmissionKind.Now;
 	}
 
 	recordSuccess(id: string): void {
--- a/packages/mastvalve-gateway/src/server/gateway-node.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-node.ts
@@ -107,7 +107,7 @@
 		const limits = new LimitClient({
 			// Another life of the entry has another history.
 			entry: `${instance} ${random()}`,
-			client, readLeader: () => this.follower.leader, readEntries: () => this.reporter.entries, random, now, windowMs: limitWindowMs, signal: this.ending.signal, wait: waitFor, onEvent,
+			client, readLeader: () => this.follower.leader, readEntryCount: () => this.reporter.entries, random, now, windowMs: limitWindowMs, signal: this.ending.signal, wait: waitFor, onEvent,
 		});
 		this.gateway = new Gateway({
 			failureDomain,
--- a/packages/mastvalve-limits/__tests__/__fixtures__/overloaded-endpoint.ts
+++ b/packages/mastvalve-limits/__tests__/__fixtures__/overloaded-endpoint.ts
@@ -15,13 +15,13 @@
 const msPerSecond = 1000;
 
 /** What an entry keeps of the endpoint. */
-type BackoffState = Pick<EndpointBackoff, 'judge' | 'recordRefusal' | 'begin'>;
+type BackoffState = Pick<EndpointBackoff, 'checkAdmission' | 'recordRefusal' | 'beginRequest'>;
 
 /** Returns with all its requests as soon as the backoff is over. */
 export class ReturnAtOnce implements BackoffState {
 	private until = Number.NEGATIVE_INFINITY;
 
-	judge(now: number): ReturnType<EndpointBackoff['judge']> {
+	checkAdmission(now: number): ReturnType<EndpointBackoff['checkAdmission']> {
 		return now < this.until ? {kind: AdmissionKind.At, at: this.until} : {kind: AdmissionKind.Now};
 	}
 
@@ -29,8 +29,8 @@
 		this.until = Math.max(this.until, now + delayMs);
 	}
 
-	begin(): ReturnType<EndpointBackoff['begin']> {
-		return {answer: () => false, end: () => false};
+	beginRequest(): ReturnType<EndpointBackoff['beginRequest']> {
+		return {recordAnswer: () => false, finish: () => false};
 	}
 }
 
@@ -72,11 +72,11 @@
 		const {time, random} = this;
 		const {state, refusedAt} = entry;
 		this.came.push(time.clock.now());
-		if (state.judge(time.clock.now()).kind !== AdmissionKind.Now) {
+		if (state.checkAdmission(time.clock.now()).kind !== AdmissionKind.Now) {
 			return;
 		}
 
-		const use = state.begin();
+		const use = state.beginRequest();
 		await time.wait(wayMs);
 		const now = time.clock.now();
 		this.violations += refusedAt.some(at => now > at + noticeMs && now < at + backoffMs) ? 1 : 0;
@@ -86,8 +86,8 @@
 			refusedAt.push(now);
 			await time.wait(wayMs);
 			state.recordRefusal(time.clock.now(), backoffMs, random());
-			use.answer(false);
-			use.end();
+			use.recordAnswer(false);
+			use.finish();
 			return;
 		}
 
@@ -96,7 +96,7 @@
 		await time.wait(meanRunMs * (0.5 + random()));
 		this.running -= 1;
 		await time.wait(wayMs);
-		use.answer(true);
-		use.end();
+		use.recordAnswer(true);
+		use.finish();
 	}
 }
--- a/packages/mastvalve-limits/__tests__/overloaded-endpoint.steps.ts
+++ b/packages/mastvalve-limits/__tests__/overloaded-endpoint.steps.ts
@@ -7,7 +7,7 @@
 	Given, Then, When, type World,
 } from '@cucumber/cucumber';
 import {
-	AdmissionKind, EndpointBackoff, readRetryAfter, RetryAfterKind, type RetryAfter,
+	AdmissionKind, EndpointBackoff, parseRetryAfter, RetryAfterKind, type RetryAfter,
 } from '../src/index.js';
 import {OverloadedEndpoint, ReturnAtOnce} from './__fixtures__/overloaded-endpoint.js';
 
@@ -72,15 +72,15 @@
 });
 
 Then('nothing may be sent at {int} ms', function (this: OverloadWorld, at: number) {
-	assert.equal(this.backoff.judge(at).kind, AdmissionKind.At);
+	assert.equal(this.backoff.checkAdmission(at).kind, AdmissionKind.At);
 });
 
 Then('a request may be sent at {int} ms', function (this: OverloadWorld, at: number) {
-	assert.equal(this.backoff.judge(at).kind, AdmissionKind.Now);
+	assert.equal(this.backoff.checkAdmission(at).kind, AdmissionKind.Now);
 });
 
 When('an answer of {string} has Retry-After {string}', function (this: OverloadWorld, answeredAt: string, values: string) {
-	this.asked = readRetryAfter(values.split('|').map(value => value.trim()), answeredAt);
+	this.asked = parseRetryAfter(values.split('|').map(value => value.trim()), answeredAt);
 });
 
 Then('it asks for {string}', function (this: OverloadWorld, meaning: string) {
--- a/packages/mastvalve-limits/src/local-rates.ts
+++ b/packages/mastvalve-limits/src/disconnected-rates.ts
@@ -5,54 +5,54 @@
  */
 
 import {minBy} from 'mastvalve-utils';
-import type {HandoverGrant} from './handover-claim.js';
-import {minPerSecond} from './limit-word.js';
-import {RateBucket} from './rate-bucket.js';
+import type {PermitResult} from './permit-claim.js';
+import {minPerSecond} from './limit-header.js';
+import {TokenBucket} from './token-bucket.js';
 
 /** When to look again at an endpoint of whose limit no part is known, ms: leaders are elected within 1.5 s. */
-const unknownPartMs = 1000;
+const unknownShareRetryMs = 1000;
 
 /** What it is made from. */
-export type LocalRatesOptions = {
+export type DisconnectedRatesOptions = {
 	/** Numbers in [0, 1). */
 	random: () => number;
 	/** How many entries share the limits; undefined when control has told none. */
-	readEntries: () => number | undefined;
+	readEntryCount: () => number | undefined;
 };
 
 /** The parts of one entry that is disconnected from the leader. Times are monotonic, ms. */
-export class LocalRates {
-	private readonly buckets = new Map<string, RateBucket>();
+export class DisconnectedRates {
+	private readonly buckets = new Map<string, TokenBucket>();
 
-	constructor(private readonly options: LocalRatesOptions) {}
+	constructor(private readonly options: DisconnectedRatesOptions) {}
 
 	/** Takes a permit at the first endpoint that has one. `perSecond` tells the limit of each. */
-	claim(endpoints: readonly string[], perSecond: ReadonlyMap<string, number>, now: number): HandoverGrant {
-		const offers = endpoints.map(endpoint => ({endpoint, waitMs: this.findWait(endpoint, perSecond.get(endpoint) ?? minPerSecond, now)}));
+	claim(endpoints: readonly string[], perSecond: ReadonlyMap<string, number>, now: number): PermitResult {
+		const offers = endpoints.map(endpoint => ({endpoint, waitMs: this.computeWaitMs(endpoint, perSecond.get(endpoint) ?? minPerSecond, now)}));
 		const best = minBy(offers, ({waitMs}) => waitMs);
 		if (best?.waitMs !== 0) {
-			return {endpoint: undefined, waitMs: best?.waitMs ?? unknownPartMs, reservation: undefined};
+			return {endpoint: undefined, waitMs: best?.waitMs ?? unknownShareRetryMs, reservation: undefined};
 		}
 
-		this.buckets.get(best.endpoint)?.take();
+		this.buckets.get(best.endpoint)?.takePermit();
 		return {endpoint: best.endpoint, waitMs: 0, reservation: undefined};
 	}
 
 	/** Somebody answers again. */
-	clear(): void {
+	reset(): void {
 		this.buckets.clear();
 	}
 
-	private findWait(endpoint: string, perSecond: number, now: number): number {
-		const entries = this.options.readEntries();
-		if (entries === undefined) {
-			return unknownPartMs;
+	private computeWaitMs(endpoint: string, perSecond: number, now: number): number {
+		const entryCount = this.options.readEntryCount();
+		if (entryCount === undefined) {
+			return unknownShareRetryMs;
 		}
 
-		const rate = perSecond / Math.max(1, entries);
-		const bucket = this.buckets.get(endpoint) ?? new RateBucket(rate, now, this.options.random());
+		const rate = perSecond / Math.max(1, entryCount);
+		const bucket = this.buckets.get(endpoint) ?? new TokenBucket(rate, now, this.options.random());
 		this.buckets.set(endpoint, bucket);
 		bucket.setRate(rate, now);
-		return bucket.waitMs(now);
+		return bucket.computeWaitMs(now);
 	}
 }
--- a/packages/mastvalve-limits/src/endpoint-backoff.ts
+++ b/packages/mastvalve-limits/src/endpoint-backoff.ts
@@ -13,78 +13,78 @@
 import {AdmissionKind, type Admission} from './admission.js';
 
 /** Entries that were refused at the same moment return spread over this share of their backoff. */
-const jitterShare = 0.1;
+const jitterRatio = 0.1;
 /** Slow start is over once so many requests may be in progress without an answer. */
 const maxWindow = 64;
 /** Part of the requests in progress at a refusal that may be in progress afterwards. */
-const ceilingShare = 0.8;
+const ceilingRatio = 0.8;
 /** A raise of the ceiling that goes too far costs a backoff, so raises are this many backoffs apart. */
-const raisePause = 10;
+const raiseIntervalBackoffs = 10;
 /** A raise adds this share, and one request at least. */
-const raiseShare = 0.1;
+const raiseRatio = 0.1;
 
 /** A request that was sent to the endpoint. */
-export type BackoffUse = {
+export type TrackedRequest = {
 	/** Its answer has begun; whether the endpoint took the request. The result says whether more may be sent now than before. */
-	answer: (isTaken: boolean) => boolean;
+	recordAnswer: (isAccepted: boolean) => boolean;
 	/** It is over; the result says the same. */
-	end: () => boolean;
+	finish: () => boolean;
 };
 
 /** The state of one endpoint. Times are monotonic, ms. */
 export class EndpointBackoff {
-	private until = Number.NEGATIVE_INFINITY;
+	private backoffUntil = Number.NEGATIVE_INFINITY;
 	/** Requests that may be without an answer at once; undefined for any number. */
 	private window: number | undefined;
 	/** Requests that may be in progress at once; undefined until a refusal has shown that there is such a number. */
 	private ceiling: number | undefined;
 	private raiseAt = Number.POSITIVE_INFINITY;
-	private raisePauseMs = 0;
+	private raiseIntervalMs = 0;
 	private unanswered = 0;
-	private inProgress = 0;
+	private inFlight = 0;
 	/** Rises with each refusal, so that requests from before it don't count in the window after it. */
-	private round = 0;
+	private epoch = 0;
 	/** Whether it took a request since the last backoff was over. */
-	private hasTaken = false;
-	private isReliableNow = false;
+	private hasAccepted = false;
+	private hasRecoveredSinceRefusal = false;
 
 	/** Whether the endpoint took requests again after the backoff before this one, so that waiting for the end of this one is likely to pay. */
-	get isReliable(): boolean {
-		return this.isReliableNow;
+	get isRecoveryLikely(): boolean {
+		return this.hasRecoveredSinceRefusal;
 	}
 
 	/** It has refused a request and asked for `delayMs` without any; `random` is in [0, 1). */
 	recordRefusal(now: number, delayMs: number, random: number): void {
-		if (now >= this.until) {
+		if (now >= this.backoffUntil) {
 			this.beginBackoff(now, delayMs);
 		}
 
-		this.until = Math.max(this.until, now + (delayMs * (1 + (jitterShare * random))));
+		this.backoffUntil = Math.max(this.backoffUntil, now + (delayMs * (1 + (jitterRatio * random))));
 		this.window = 1;
 		this.unanswered = 0;
-		this.round += 1;
+		this.epoch += 1;
 	}
 
 	/** Whether a request may be sent. */
-	judge(now: number): Admission {
-		if (now < this.until) {
-			return {kind: AdmissionKind.At, at: this.until};
+	checkAdmission(now: number): Admission {
+		if (now < this.backoffUntil) {
+			return {kind: AdmissionKind.At, at: this.backoffUntil};
 		}
 
 		this.raiseCeiling(now);
-		const isFull = this.unanswered >= (this.window ?? Number.POSITIVE_INFINITY) || this.inProgress >= Math.floor(this.ceiling ?? Number.POSITIVE_INFINITY);
+		const isFull = this.unanswered >= (this.window ?? Number.POSITIVE_INFINITY) || this.inFlight >= Math.floor(this.ceiling ?? Number.POSITIVE_INFINITY);
 		return {kind: isFull ? AdmissionKind.AfterAnswer : AdmissionKind.Now};
 	}
 
 	/** A request is sent. */
-	begin(): BackoffUse {
-		const {round} = this;
+	beginRequest(): TrackedRequest {
+		const {epoch} = this;
 		let isUnanswered = true;
 		let isOpen = true;
 		this.unanswered += 1;
-		this.inProgress += 1;
-		const answer = (isTaken: boolean): boolean => {
-			const isCounted = isUnanswered && round === this.round;
+		this.inFlight += 1;
+		const recordAnswer = (isAccepted: boolean): boolean => {
+			const isCounted = isUnanswered && epoch === this.epoch;
 			isUnanswered = false;
 			if (!isCounted) {
 				return false;
@@ -92,18 +92,18 @@
 
 			const wasRestricted = this.window !== undefined;
 			this.unanswered -= 1;
-			if (isTaken) {
-				this.widen();
+			if (isAccepted) {
+				this.widenWindow();
 			}
 
 			return wasRestricted;
 		};
 
 		return {
-			answer,
-			end: () => {
-				const hasWidened = answer(false);
-				this.inProgress -= isOpen ? 1 : 0;
+			recordAnswer,
+			finish: () => {
+				const hasWidened = recordAnswer(false);
+				this.inFlight -= isOpen ? 1 : 0;
 				isOpen = false;
 				return hasWidened || this.ceiling !== undefined;
 			},
@@ -112,26 +112,26 @@
 
 	/** A refusal after the endpoint had taken requests again tells how many in progress are too many; the first one may be of an outage. */
 	private beginBackoff(now: number, delayMs: number): void {
-		const others = this.inProgress - 1;
-		if (this.hasTaken && others > 0) {
-			this.ceiling = Math.max(1, Math.min(others, this.ceiling ?? Number.POSITIVE_INFINITY) * ceilingShare);
+		const others = this.inFlight - 1;
+		if (this.hasAccepted && others > 0) {
+			this.ceiling = Math.max(1, Math.min(others, this.ceiling ?? Number.POSITIVE_INFINITY) * ceilingRatio);
 		}
 
-		this.raisePauseMs = delayMs * raisePause;
-		this.raiseAt = now + delayMs + this.raisePauseMs;
-		this.isReliableNow = this.hasTaken;
-		this.hasTaken = false;
+		this.raiseIntervalMs = delayMs * raiseIntervalBackoffs;
+		this.raiseAt = now + delayMs + this.raiseIntervalMs;
+		this.hasRecoveredSinceRefusal = this.hasAccepted;
+		this.hasAccepted = false;
 	}
 
 	private raiseCeiling(now: number): void {
 		if (this.ceiling !== undefined && now >= this.raiseAt) {
-			this.ceiling += Math.max(1, this.ceiling * raiseShare);
-			this.raiseAt = now + this.raisePauseMs;
+			this.ceiling += Math.max(1, this.ceiling * raiseRatio);
+			this.raiseAt = now + this.raiseIntervalMs;
 		}
 	}
 
-	private widen(): void {
-		this.hasTaken = this.round > 0;
+	private widenWindow(): void {
+		this.hasAccepted = this.epoch > 0;
 		if (this.window !== undefined) {
 			this.window = this.window >= maxWindow ? undefined : this.window + 1;
 		}
--- a/packages/mastvalve-limits/src/endpoint-limits.ts
+++ b/packages/mastvalve-limits/src/endpoint-limits.ts
@@ -12,69 +12,69 @@
 
 import {minBy} from 'mastvalve-utils';
 import type {
-	AccountMoment, EndpointLimit, HandoverClaim, HandoverGrant, ToldWord,
-} from './handover-claim.js';
-import {LimitWordKind, minPerSecond} from './limit-word.js';
-import {RateBucket} from './rate-bucket.js';
+	LimitTimestamp, EndpointLimit, PermitClaim, PermitResult, LimitReport,
+} from './permit-claim.js';
+import {LimitHeaderKind, minPerSecond} from './limit-header.js';
+import {TokenBucket} from './token-bucket.js';
 import {ReservationQueue} from './reservation-queue.js';
 
 /** What an endpoint may get before its rate has brought anything, requests: what was on its way when it named the limit is not counted. */
-const firstLevel = 0;
+const initialPermits = 0;
 
 /** Between the number of a reservation and its endpoint: an identity needs no table that reservations without an end would fill. */
 const separator = '@';
 
-type Account = {
+type LimitState = {
 	/** Undefined once the limit is over; the account stays until that is recorded. */
 	perSecond: number | undefined;
 	/** Number of the moment at which the last word was heard; 0 for one that was recorded before this leader. */
-	heardAt: number;
-	bucket: RateBucket;
+	reportedAt: number;
+	bucket: TokenBucket;
 	queue: ReservationQueue;
 };
 
 /** The limit that is recorded for an endpoint; `unknown` for one that has ended. */
-export type ReadRecorded = (endpoint: string) => {perSecond: number | undefined} | 'unknown';
+export type ReadRecordedLimit = (endpoint: string) => {perSecond: number | undefined} | 'unknown';
 
 /** The limits of one leader. Times are monotonic, ms. */
 export class EndpointLimits {
-	private readonly accounts = new Map<string, Account>();
-	private number = 0;
+	private readonly states = new Map<string, LimitState>();
+	private sequence = 0;
 
-	constructor(private readonly term: number, private readonly readRecorded: ReadRecorded) {}
+	constructor(private readonly term: number, private readonly readRecordedLimit: ReadRecordedLimit) {}
 
 	/** The present moment. */
-	get moment(): AccountMoment {
-		return {term: this.term, number: this.number};
+	get timestamp(): LimitTimestamp {
+		return {term: this.term, number: this.sequence};
 	}
 
 	/** Hears what an answer said of a limit. */
-	hear({endpoint, word, grantedAt}: ToldWord, now: number): void {
-		if (word.kind === LimitWordKind.Unreadable || this.readRecorded(endpoint) === 'unknown') {
+	recordReport({endpoint, word, grantedAt}: LimitReport, now: number): void {
+		if (word.kind === LimitHeaderKind.Malformed || this.readRecordedLimit(endpoint) === 'unknown') {
 			return;
 		}
 
-		this.number += 1;
-		const told = word.kind === LimitWordKind.Named ? word.perSecond : undefined;
-		const account = this.accountOf(endpoint, now);
-		if (!account) {
-			this.open(endpoint, told, now);
+		this.sequence += 1;
+		const perSecond = word.kind === LimitHeaderKind.Rate ? word.perSecond : undefined;
+		const state = this.findState(endpoint, now);
+		if (!state) {
+			this.createState(endpoint, perSecond, now);
 			return;
 		}
 
-		const isLater = grantedAt?.term === this.term && grantedAt.number >= account.heardAt;
-		const isStricter = told !== undefined && told < (account.perSecond ?? Number.POSITIVE_INFINITY);
+		const isLater = grantedAt?.term === this.term && grantedAt.number >= state.reportedAt;
+		const isStricter = perSecond !== undefined && perSecond < (state.perSecond ?? Number.POSITIVE_INFINITY);
 		if (isLater || isStricter) {
-			account.perSecond = told;
-			account.bucket.setRate(told ?? minPerSecond, now);
-			account.heardAt = this.number;
+			state.perSecond = perSecond;
+			state.bucket.setRate(perSecond ?? minPerSecond, now);
+			state.reportedAt = this.sequence;
 		}
 	}
 
 	/** Takes a permit at the endpoint that has one first, or a reservation there if its turn comes in time. */
-	claim({endpoints, urgency, maxWaitMs, reservation}: HandoverClaim, now: number): HandoverGrant {
-		const reserved = reservation === undefined ? undefined : this.release(reservation);
-		const offers = endpoints.map(endpoint => ({endpoint, waitMs: this.findWait(endpoint, urgency, endpoint === reserved, now)}));
+	claim({endpoints, urgency, maxWaitMs, reservation}: PermitClaim, now: number): PermitResult {
+		const reserved = reservation === undefined ? undefined : this.releaseReservation(reservation);
+		const offers = endpoints.map(endpoint => ({endpoint, waitMs: this.computeWaitMs(endpoint, urgency, endpoint === reserved, now)}));
 		const best = minBy(offers, ({waitMs}) => waitMs);
 		if (!best) {
 			return {endpoint: undefined, waitMs: 0, reservation: undefined};
@@ -82,7 +82,7 @@
 
 		const {endpoint, waitMs} = best;
 		if (waitMs === 0) {
-			this.accountOf(endpoint, now)?.bucket.take();
+			this.findState(endpoint, now)?.bucket.takePermit();
 			return {endpoint, waitMs, reservation: undefined};
 		}
 
@@ -90,22 +90,22 @@
 	}
 
 	/** Gives a reservation up; the endpoint where it was, if it had not lapsed. */
-	release(reservation: string): string | undefined {
+	releaseReservation(reservation: string): string | undefined {
 		const endpoint = reservation.slice(reservation.indexOf(separator) + 1);
-		return this.accounts.get(endpoint)?.queue.remove(reservation) ? endpoint : undefined;
+		return this.states.get(endpoint)?.queue.remove(reservation) ? endpoint : undefined;
 	}
 
 	/** A request that was let through was not handed over. */
-	giveBack(endpoint: string): void {
-		this.accounts.get(endpoint)?.bucket.giveBack();
+	returnPermit(endpoint: string): void {
+		this.states.get(endpoint)?.bucket.returnPermit();
 	}
 
 	/** Limits that differ from what is recorded. Accounts of endpoints that have ended, or of limits that are over, are dropped. */
 	listChanged(): EndpointLimit[] {
-		return [...this.accounts].flatMap(([endpoint, {perSecond}]) => {
-			const recorded = this.readRecorded(endpoint);
+		return [...this.states].flatMap(([endpoint, {perSecond}]) => {
+			const recorded = this.readRecordedLimit(endpoint);
 			if (recorded === 'unknown' || (perSecond === undefined && recorded.perSecond === undefined)) {
-				this.accounts.delete(endpoint);
+				this.states.delete(endpoint);
 				return [];
 			}
 
@@ -114,44 +114,44 @@
 	}
 
 	/** Time until a request may be handed over, ms; `isDue` for one whose reserved turn has come. */
-	private findWait(endpoint: string, urgency: number, isDue: boolean, now: number): number {
-		const account = this.accountOf(endpoint, now);
-		if (account?.perSecond === undefined) {
+	private computeWaitMs(endpoint: string, urgency: number, isDue: boolean, now: number): number {
+		const state = this.findState(endpoint, now);
+		if (state?.perSecond === undefined) {
 			return 0;
 		}
 
-		const {bucket, queue} = account;
+		const {bucket, queue} = state;
 		return isDue
-			? bucket.waitMs(now, queue.countDueBefore(urgency, now))
-			: queue.findTurn(urgency, now, index => now + bucket.waitMs(now, index)) - now;
+			? bucket.computeWaitMs(now, queue.countDueMoreUrgent(urgency, now))
+			: queue.findPermitTime(urgency, now, index => now + bucket.computeWaitMs(now, index)) - now;
 	}
 
 	private reserve(endpoint: string, urgency: number, dueAt: number): string {
-		this.number += 1;
-		const id = `${this.term}-${this.number}${separator}${endpoint}`;
-		this.accounts.get(endpoint)?.queue.add({id, urgency, dueAt});
+		this.sequence += 1;
+		const id = `${this.term}-${this.sequence}${separator}${endpoint}`;
+		this.states.get(endpoint)?.queue.add({id, urgency, dueAt});
 		return id;
 	}
 
-	private accountOf(endpoint: string, now: number): Account | undefined {
-		const known = this.accounts.get(endpoint);
+	private findState(endpoint: string, now: number): LimitState | undefined {
+		const known = this.states.get(endpoint);
 		if (known) {
 			return known;
 		}
 
-		const recorded = this.readRecorded(endpoint);
-		return recorded === 'unknown' || recorded.perSecond === undefined ? undefined : this.open(endpoint, recorded.perSecond, now);
+		const recorded = this.readRecordedLimit(endpoint);
+		return recorded === 'unknown' || recorded.perSecond === undefined ? undefined : this.createState(endpoint, recorded.perSecond, now);
 	}
 
-	private open(endpoint: string, perSecond: number | undefined, now: number): Account | undefined {
+	private createState(endpoint: string, perSecond: number | undefined, now: number): LimitState | undefined {
 		if (perSecond === undefined) {
 			return undefined;
 		}
 
-		const account = {
-			perSecond, heardAt: this.number, bucket: new RateBucket(perSecond, now, firstLevel), queue: new ReservationQueue(),
+		const state = {
+			perSecond, reportedAt: this.sequence, bucket: new TokenBucket(perSecond, now, initialPermits), queue: new ReservationQueue(),
 		};
-		this.accounts.set(endpoint, account);
-		return account;
+		this.states.set(endpoint, state);
+		return state;
 	}
 }
--- a/packages/mastvalve-limits/src/limit-word.ts
+++ b/packages/mastvalve-limits/src/limit-header.ts
@@ -3,16 +3,16 @@
  */
 
 /** What a head may say. */
-export enum LimitWordKind {
+export enum LimitHeaderKind {
 	/** It names no limit. */
 	Absent = 'absent',
-	Named = 'named',
+	Rate = 'named',
 	/** Something that is no rate; it neither begins, changes nor ends a limit. */
-	Unreadable = 'unreadable',
+	Malformed = 'unreadable',
 }
 
 /** The word of one answer. */
-export type LimitWord = {kind: LimitWordKind.Absent} | {kind: LimitWordKind.Unreadable} | {kind: LimitWordKind.Named; perSecond: number};
+export type LimitHeader = {kind: LimitHeaderKind.Absent} | {kind: LimitHeaderKind.Malformed} | {kind: LimitHeaderKind.Rate; perSecond: number};
 
 /**
  * The lowest limit that is kept, requests a second. Only its answers tell when an endpoint's limit is over, so one that takes
@@ -21,14 +21,14 @@
 export const minPerSecond = 0.1;
 
 /** A decimal number of at most nine digits on each side; signs, exponents and lists are no rates. */
-const decimal = /^\d{1,9}(?:\.\d{1,9})?$/v;
+const decimalPattern = /^\d{1,9}(?:\.\d{1,9})?$/v;
 
 /** Reads the field's value; undefined when the head has no such field. */
-export const readLimitWord = (text: string | undefined): LimitWord => {
+export const parseLimitHeader = (text: string | undefined): LimitHeader => {
 	if (text === undefined) {
-		return {kind: LimitWordKind.Absent};
+		return {kind: LimitHeaderKind.Absent};
 	}
 
 	const trimmed = text.trim();
-	return decimal.test(trimmed) ? {kind: LimitWordKind.Named, perSecond: Math.max(minPerSecond, Number(trimmed))} : {kind: LimitWordKind.Unreadable};
+	return decimalPattern.test(trimmed) ? {kind: LimitHeaderKind.Rate, perSecond: Math.max(minPerSecond, Number(trimmed))} : {kind: LimitHeaderKind.Malformed};
 };
--- a/packages/mastvalve-limits/src/handover-claim.ts
+++ b/packages/mastvalve-limits/src/permit-claim.ts
@@ -2,10 +2,10 @@
  * What entries and the leader tell each other of endpoints that have named a limit.
  */
 
-import type {LimitWord} from './limit-word.js';
+import type {LimitHeader} from './limit-header.js';
 
 /** An entry asks for a permit to hand a request to one of several limited endpoints. */
-export type HandoverClaim = {
+export type PermitClaim = {
 	/** Identities of the endpoints' incarnations, the preferred first. */
 	endpoints: string[];
 	/** 0 is the most urgent. */
@@ -17,7 +17,7 @@
 };
 
 /** The answer to a claim. A request holds one permit, or one reservation, or nothing. */
-export type HandoverGrant = {
+export type PermitResult = {
 	/** Where it got a permit. */
 	endpoint: string | undefined;
 	/** Time until its turn, or until the first permit if it got no reservation, ms; 0 with a permit. */
@@ -26,14 +26,14 @@
 };
 
 /** A moment in the account of one leader. Moments of different terms can't be compared. */
-export type AccountMoment = {term: number; number: number};
+export type LimitTimestamp = {term: number; number: number};
 
 /** The word of one answer. */
-export type ToldWord = {
+export type LimitReport = {
 	endpoint: string;
-	word: LimitWord;
+	word: LimitHeader;
 	/** When the request that it answers was let through; undefined for one that nobody was asked about. */
-	grantedAt: AccountMoment | undefined;
+	grantedAt: LimitTimestamp | undefined;
 };
 
 /** The limit of an endpoint; undefined for one that takes as many as its slots allow. */
--- a/packages/mastvalve-limits/src/reservation-queue.ts
+++ b/packages/mastvalve-limits/src/reservation-queue.ts
@@ -5,10 +5,10 @@
  */
 
 /** A reservation whose request doesn't come back within this time of its turn has lapsed, ms: messages within a region take a few ms, a busy entry some more. */
-const graceMs = 300;
+const expiryGraceMs = 300;
 
 /** Times are rounded up to whole ms, and a permit that comes this late counts as in time, ms. */
-const lateMs = 5;
+const lateToleranceMs = 5;
 
 type Reservation = {id: string; urgency: number; dueAt: number};
 
@@ -20,17 +20,17 @@
 	 * When a newcomer's turn comes: with the first permit that no reservation of the same or a higher urgency needs. `permitTimeOf` tells when
 	 * the nth permit from now is there, counted from 0.
 	 */
-	findTurn(urgency: number, now: number, permitTimeOf: (index: number) => number): number {
-		this.dropLapsed(now);
+	findPermitTime(urgency: number, now: number, findNthPermitTime: (index: number) => number): number {
+		this.dropExpired(now);
 		const ahead = this.reservations.filter(each => each.urgency <= urgency).toSorted((a, b) => a.dueAt - b.dueAt);
 		// From here on all that are behind the newcomer get one permit later than before, which must still be there in time.
-		const firstUnmoved = ahead.findLastIndex(({dueAt}, index) => permitTimeOf(index + 1) > dueAt + lateMs);
-		return permitTimeOf(firstUnmoved + 1);
+		const lastUnmovable = ahead.findLastIndex(({dueAt}, index) => findNthPermitTime(index + 1) > dueAt + lateToleranceMs);
+		return findNthPermitTime(lastUnmovable + 1);
 	}
 
 	/** How many more urgent ones are due and go before one whose turn has come. */
-	countDueBefore(urgency: number, now: number): number {
-		this.dropLapsed(now);
+	countDueMoreUrgent(urgency: number, now: number): number {
+		this.dropExpired(now);
 		return this.reservations.filter(each => each.urgency < urgency && each.dueAt <= now).length;
 	}
 
@@ -45,7 +45,7 @@
 		return this.reservations.length < before;
 	}
 
-	private dropLapsed(now: number): void {
-		this.reservations = this.reservations.filter(({dueAt}) => now <= dueAt + graceMs);
+	private dropExpired(now: number): void {
+		this.reservations = this.reservations.filter(({dueAt}) => now <= dueAt + expiryGraceMs);
 	}
 }
--- a/packages/mastvalve-limits/src/retry-after.ts
+++ b/packages/mastvalve-limits/src/retry-after.ts
@@ -9,34 +9,34 @@
 	Absent = 'absent',
 	Delay = 'delay',
 	/** Neither a delay nor a date with a reference; it asks for nothing. */
-	Unreadable = 'unreadable',
+	Malformed = 'unreadable',
 }
 
 /** The field of one answer; the delay in ms. */
-export type RetryAfter = {kind: RetryAfterKind.Absent} | {kind: RetryAfterKind.Unreadable} | {kind: RetryAfterKind.Delay; delayMs: number};
+export type RetryAfter = {kind: RetryAfterKind.Absent} | {kind: RetryAfterKind.Malformed} | {kind: RetryAfterKind.Delay; delayMs: number};
 
 const msPerSecond = 1000;
 
 /** A decimal number of at most nine digits on each side, without sign or exponent. */
-const decimal = /^\d{1,9}(?:\.\d{1,9})?$/v;
+const decimalPattern = /^\d{1,9}(?:\.\d{1,9})?$/v;
 /** The fixed-length form of an HTTP date. */
-const httpDate = /^(?:Mon|Tue|Wed|Thu|Fri|Sat|Sun), \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/v;
+const httpDatePattern = /^(?:Mon|Tue|Wed|Thu|Fri|Sat|Sun), \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/v;
 
-const readDelay = (text: string, answeredAt: string | undefined): number => {
+const parseDelayMs = (text: string, answeredAt: string | undefined): number => {
 	const trimmed = text.trim();
-	if (decimal.test(trimmed)) {
+	if (decimalPattern.test(trimmed)) {
 		return Number(trimmed) * msPerSecond;
 	}
 
-	return httpDate.test(trimmed) ? Math.max(0, Date.parse(trimmed) - Date.parse(answeredAt ?? '')) : Number.NaN;
+	return httpDatePattern.test(trimmed) ? Math.max(0, Date.parse(trimmed) - Date.parse(answeredAt ?? '')) : Number.NaN;
 };
 
 /** Reads all values of the field; of several that can be read the longest delay counts. `answeredAt` is the value of `Date`. */
-export const readRetryAfter = (values: readonly string[], answeredAt?: string): RetryAfter => {
+export const parseRetryAfter = (values: readonly string[], answeredAt?: string): RetryAfter => {
 	if (values.length === 0) {
 		return {kind: RetryAfterKind.Absent};
 	}
 
-	const delays = values.map(value => readDelay(value, answeredAt)).filter(delayMs => Number.isFinite(delayMs));
-	return delays.length === 0 ? {kind: RetryAfterKind.Unreadable} : {kind: RetryAfterKind.Delay, delayMs: Math.max(...delays)};
+	const delays = values.map(value => parseDelayMs(value, answeredAt)).filter(delayMs => Number.isFinite(delayMs));
+	return delays.length === 0 ? {kind: RetryAfterKind.Malformed} : {kind: RetryAfterKind.Delay, delayMs: Math.max(...delays)};
 };
--- a/packages/mastvalve-limits/src/rate-bucket.ts
+++ b/packages/mastvalve-limits/src/token-bucket.ts
@@ -13,35 +13,35 @@
  * A permit that comes within this time counts as there, ms: times are told in whole ms, and a request that comes a part of one too early would
  * wait anew or leave the permit unused. The level goes below zero by as much, so the rate stays what it is.
  */
-const earlyMs = 5;
+const earlyToleranceMs = 5;
 
 /** The bucket. Times are monotonic, ms. */
-export class RateBucket {
+export class TokenBucket {
 	/** `level` is the number of permits at the beginning. */
-	constructor(private perSecond: number, private at: number, private level: number) {}
+	constructor(private perSecond: number, private refilledAt: number, private permits: number) {}
 
 	/** Another rate holds from now on. */
 	setRate(perSecond: number, now: number): void {
 		this.refill(now);
 		this.perSecond = perSecond;
-		this.level = Math.min(this.level, this.capacity);
+		this.permits = Math.min(this.permits, this.capacity);
 	}
 
 	/** Time after which there is a permit for a request behind as many others, ms; 0 when there is one now. */
-	waitMs(now: number, before = 0): number {
+	computeWaitMs(now: number, aheadCount = 0): number {
 		this.refill(now);
-		const waitMs = Math.ceil((before + 1 - this.level) / this.perSecond * msPerSecond);
-		return waitMs <= earlyMs ? 0 : waitMs;
+		const waitMs = Math.ceil((aheadCount + 1 - this.permits) / this.perSecond * msPerSecond);
+		return waitMs <= earlyToleranceMs ? 0 : waitMs;
 	}
 
 	/** Takes a permit. */
-	take(): void {
-		this.level -= 1;
+	takePermit(): void {
+		this.permits -= 1;
 	}
 
 	/** A permit that was taken and not used comes back. */
-	giveBack(): void {
-		this.level = Math.min(this.capacity, this.level + 1);
+	returnPermit(): void {
+		this.permits = Math.min(this.capacity, this.permits + 1);
 	}
 
 	private get capacity(): number {
@@ -49,7 +49,7 @@
 	}
 
 	private refill(now: number): void {
-		this.level = Math.min(this.capacity, this.level + ((now - this.at) * this.perSecond / msPerSecond));
-		this.at = now;
+		this.permits = Math.min(this.capacity, this.permits + ((now - this.refilledAt) * this.perSecond / msPerSecond));
+		this.refilledAt = now;
 	}
 }
--- a/packages/mastvalve-proofs/__tests__/access.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/access.proofs.ts
@@ -6,7 +6,7 @@
 import {strict as assert} from 'node:assert';
 import fc from 'fast-check';
 import {
-	AccessKind, digestKey, Evidence, judgeAccess, KeyKind, LimitLedger, LimitUnit, WorkspaceTable,
+	AccessKind, digestKey, KeyFreshness, authorizeRequest, KeyKind, LimitLedger, LimitUnit, WorkspaceTable,
 	type LimitTolerance, type PresentedKey, type Workspace,
 } from 'mastvalve-access';
 import {
@@ -63,7 +63,7 @@
 	private known = {sureAt: 0, isRevoked: false};
 	private readonly answers: Answer[] = [];
 	private table = holding;
-	private readonly evidence = new Evidence(boundMs);
+	private readonly evidence = new KeyFreshness(boundMs);
 	/** When requests that wait were sent, true time. */
 	private readonly waiting: number[] = [];
 
@@ -97,7 +97,7 @@
 			case KeyStepKind.Suspend: {
 				this.trueNow += ms * 5;
 				if (this.fault !== KeyFault.SteadyClockAlone) {
-					this.evidence.distrust(this.steadyNow);
+					this.evidence.invalidate(this.steadyNow);
 				}
 
 				break;
@@ -134,13 +134,13 @@
 	private takeAnswer(answer: Answer | undefined): void {
 		if (answer) {
 			this.table = answer.isRevoked ? without : this.table;
-			this.evidence.record(answer.askedAt, answer.sureAfterMs);
+			this.evidence.recordAnswer(answer.askedAt, answer.sureAfterMs);
 		}
 	}
 
 	private mayServe(): boolean {
-		return judgeAccess({
-			key, workspaces: this.table, isAnonymous: false, isSure: this.evidence.isSure(this.steadyNow),
+		return authorizeRequest({
+			key, workspaces: this.table, isAnonymous: false, hasFreshKeys: this.evidence.isFresh(this.steadyNow),
 		}).kind === AccessKind.Granted;
 	}
 
@@ -231,7 +231,7 @@
 		const ledger = this.ledgers[entry % this.ledgers.length]!;
 		switch (kind) {
 			case LimitStepKind.Claim: {
-				if (ledger.settle(limited, cost, this.now) === 0) {
+				if (ledger.applyClaim(limited, cost, this.now) === 0) {
 					this.ran.push({at: this.now, cost});
 				}
 
@@ -241,7 +241,7 @@
 			case LimitStepKind.GiveBack: {
 				const last = this.ran.pop();
 				if (last) {
-					ledger.settle(limited, -last.cost * (this.fault === LimitFault.GivesBackTwice ? 2 : 1), this.now);
+					ledger.applyClaim(limited, -last.cost * (this.fault === LimitFault.GivesBackTwice ? 2 : 1), this.now);
 				}
 
 				break;
@@ -263,7 +263,7 @@
 	/** All entries tell at once here; a leader grants little before it has heard them. */
 	private tellHistory([ledger]: LimitLedger[]): void {
 		this.ran.forEach(({at, cost}) => {
-			ledger?.addFormer(limited, {workspace: limited.name, amount: cost, ageMs: this.now - at}, this.now);
+			ledger?.addPriorGrant(limited, {workspace: limited.name, amount: cost, ageMs: this.now - at}, this.now);
 		});
 	}
 
