--- a/packages/mastvalve-fleet/src/engines/demand-shift-detector.ts
+++ b/packages/mastvalve-fleet/src/engines/demand-shift-detector.ts
@@ -1,26 +1,26 @@
 /**
- * Learns by how many places demand moves along the list of models: from the model that is asked for most, now and before.
+ * Detects by how many positions demand shifts along the list of models, by comparing the current busiest model with the
+ * previous one.
  */
 
-/** A model is taken for the busiest one only when it is ahead of all others by this factor. */
+/** Factor by which the rate of the busiest model must exceed all others. */
 const dominanceFactor = 1.3;
 /**
- * And only when it stays ahead for this long, ms. Requests come at random: without it, 62 of 300 simulated quiet days
- * of 20 requests/s learned a wrong step, with it 7; longer times were no better.
+ * Time for which a model must stay the busiest, ms. Requests arrive at random: without this delay 62 of 300 simulated quiet
+ * days of 20 requests/s gave a wrong shift, with it 7; longer delays gave no improvement.
  */
 const confirmationMs = 1000;
-/** Demand has not been seen to move further at once; a larger difference is another event. */
+/** Largest difference in list positions that counts as a shift. Demand was never observed to shift further at once; a larger difference has another cause. */
 const maxShift = 6;
 
-/** The learner. */
 export class DemandShiftDetector {
-	/** Places by which demand moved the last time; undefined until it was seen. */
+	/** Last observed shift, in list positions; undefined until one was observed. */
 	shift: number | undefined;
 	private busiestRank: number | undefined;
-	/** Who is ahead now, and since when, ms. */
+	/** Rank of the model that is currently the busiest, and since when, ms. */
 	private candidate: {rank: number; since: number} | undefined;
 
-	/** Looks at the rates of all models, in the order in which they are declared, requests/s; to be called often. */
+	/** Takes the rates of all models in declaration order, requests/s. Must be called several times within the confirmation time. */
 	observe(rates: readonly number[], now: number): void {
 		const [first = 0, second = 0] = rates.toSorted((a, b) => b - a);
 		const rank = first > 0 && first >= second * dominanceFactor ? rates.indexOf(first) : undefined;
@@ -35,10 +35,10 @@
 	}
 
 	private confirm(rank: number): void {
-		const step = rank - (this.busiestRank ?? rank);
+		const shift = rank - (this.busiestRank ?? rank);
 		this.busiestRank = rank;
-		if (step > 0 && step <= maxShift) {
-			this.shift = step;
+		if (shift > 0 && shift <= maxShift) {
+			this.shift = shift;
 		}
 	}
 }
--- a/packages/mastvalve-fleet/src/engines/engine-ledger.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-ledger.ts
@@ -1,9 +1,9 @@
 /**
- * The account of one engine's room: which models and adapters are in it or may be.
+ * Tracks the memory of one engine: the models and adapters that are or may be resident.
  *
- * Nothing leaves the account by intent or by time, only by evidence: a heartbeat or the engine's own status that was asked
- * for after the last order, or the engine's answer that an unload is done. An order to load passes only if it fits beside
- * all that is or may be there. A plain piece of state: no clock, no sockets.
+ * An item is removed only on evidence, never by intent or time-out: a heartbeat, an engine status requested after the last
+ * order, or the engine's answer that an unload completed. A load may be ordered only if it fits beside everything that is or
+ * may be resident. Holds state only: no clock, no sockets.
  */
 
 import type {EngineSpec} from '../configuration/served-service.js';
@@ -14,49 +14,48 @@
 /** An adapter of a model. */
 export type AdapterName = {model: string; adapter: string};
 
-/** An adapter as `model/adapter`. */
+/** Formats an adapter as `model/adapter`. */
 export const formatAdapter = ({model, adapter}: AdapterName): string => `${model}/${adapter}`;
 
-/** The account. */
 export class EngineLedger {
-	/** Adapters that are in place or may be, by model; models that are missing here are as recorded. */
+	/** Adapters that are or may be resident, by model; for other models the record applies. */
 	private readonly adapters = new Map<string, Set<string>>();
-	/** Adapters that are about to be loaded, each with the one that gives way. */
+	/** Adapters with a planned load, each with the adapter to evict. */
 	private readonly plannedLoads = new Map<string, AdapterName | undefined>();
-	/** Models whose load was ordered, and of whose end no heartbeat has told. */
+	/** Models whose load was ordered and not yet reported as complete by a heartbeat. */
 	private readonly orderedLoads = new Set<string>();
-	/** Models that the engine itself has told to be gone, while the record still has them. */
+	/** Models whose unload the engine or a heartbeat confirmed while the record still lists them. */
 	private readonly confirmedUnloads = new Set<string>();
 
-	/** Adapters on their way or about to be, as `model/adapter`. */
+	/** Adapters with a planned or ordered load, as `model/adapter`. */
 	get pendingAdapters(): string[] {
 		return [...this.plannedLoads.keys()];
 	}
 
-	/** Adapters by model, of the models that are known better here than in the record. */
+	/** Adapters by model, for the models whose state here is newer than the record. */
 	get knownAdapters(): Record<string, string[]> {
 		return Object.fromEntries([...this.adapters].map(([model, adapters]) => [model, [...adapters]]));
 	}
 
-	/** What the engine holds for those who plan: without adapters that are about to give way, whose slots are promised. */
+	/** Returns the held models for planning, without adapters to be evicted, whose slots are already reserved. */
 	listHeldModels(recorded: readonly HeldModel[]): HeldModel[] {
-		const leaving = new Set([...this.plannedLoads.values()].flatMap(name => (name ? [formatAdapter(name)] : [])));
+		const evicted = new Set([...this.plannedLoads.values()].flatMap(name => (name ? [formatAdapter(name)] : [])));
 		return recorded.map(held => ({
-			name: held.name, adapters: this.adaptersOf(held).filter(adapter => !leaving.has(formatAdapter({model: held.name, adapter}))),
+			name: held.name, adapters: this.adaptersOf(held).filter(adapter => !evicted.has(formatAdapter({model: held.name, adapter}))),
 		}));
 	}
 
-	/** An adapter is to be loaded, perhaps in the place of another one. Neither has happened yet. */
-	beginLoad(adapter: AdapterName, evicted: AdapterName | undefined): void {
-		this.plannedLoads.set(formatAdapter(adapter), evicted);
+	/** Records a planned load, with the adapter to evict for it, if any. Neither has been ordered yet. */
+	beginLoad(adapter: AdapterName, evict: AdapterName | undefined): void {
+		this.plannedLoads.set(formatAdapter(adapter), evict);
 	}
 
-	/** A plan has ended, whatever came of it. What was to give way and was not unloaded still counts. */
+	/** Ends a planned load, whatever its outcome. An adapter that was to be evicted and was not unloaded still counts. */
 	endLoad(adapter: AdapterName): void {
 		this.plannedLoads.delete(formatAdapter(adapter));
 	}
 
-	/** Whether an order fits beside all that is or may be there. Unloads always do. */
+	/** Whether an order fits beside everything that is or may be resident. Unloads always fit. */
 	mayOrder(order: EngineOrder, recorded: readonly HeldModel[], spec: EngineSpec): boolean {
 		if (order.kind === EngineOrderKind.Unload) {
 			return true;
@@ -70,7 +69,7 @@
 		return possible.some(({name}) => name === order.model) || fitsInMemory(spec, {holds: possible, loading: undefined, loadingAdapters: []}, order.model);
 	}
 
-	/** An order is about to be sent. From now on it may be carried out. */
+	/** Records an order before it is sent, since it may be executed from then on. */
 	recordSent({kind, model, adapter}: EngineOrder, recorded: readonly HeldModel[]): void {
 		if (kind === EngineOrderKind.Unload) {
 			return;
@@ -81,9 +80,9 @@
 			return;
 		}
 
-		const isThere = !this.confirmedUnloads.has(model) && recorded.some(({name}) => name === model);
-		if (!isThere) {
-			// What is loaded anew has no adapters, whatever the record still says.
+		const isResident = !this.confirmedUnloads.has(model) && recorded.some(({name}) => name === model);
+		if (!isResident) {
+			// A newly loaded model has no adapters, whatever the record lists.
 			this.adapters.set(model, new Set());
 		}
 
@@ -91,7 +90,7 @@
 		this.confirmedUnloads.delete(model);
 	}
 
-	/** The engine has refused an order of which no other copy is under way. */
+	/** Records that the engine refused an order of which no other copy is in flight. */
 	recordRefusal({kind, model, adapter}: EngineOrder): void {
 		if (kind === EngineOrderKind.Load && adapter === undefined) {
 			this.orderedLoads.delete(model);
@@ -100,23 +99,23 @@
 		}
 	}
 
-	/** The engine has answered that an adapter is unloaded. */
+	/** Records the engine's answer that an adapter was unloaded. */
 	recordAdapterUnloaded({model, adapter}: AdapterName, recorded: readonly HeldModel[]): void {
 		this.trackAdapters(model, recorded).delete(adapter);
 	}
 
-	/** A heartbeat has told of the end of a load. */
+	/** Records that a heartbeat reported a load as complete. */
 	recordLoaded(model: string): void {
 		this.orderedLoads.delete(model);
 	}
 
-	/** A model is gone: a heartbeat has told it, or the engine when it was asked. Its adapters went with it. */
+	/** Records that a heartbeat or the engine's status reported a model as unloaded, with all its adapters. */
 	recordUnloaded(model: string): void {
 		this.adapters.delete(model);
 		this.confirmedUnloads.add(model);
 	}
 
-	/** The engine's own status, newer than the last order, and the record say the same: this is all there is. */
+	/** Replaces the tracked state once the engine's status, newer than the last order, agrees with the record. */
 	reconcile(holds: readonly HeldModel[]): void {
 		this.orderedLoads.clear();
 		this.confirmedUnloads.clear();
@@ -126,11 +125,11 @@
 		});
 	}
 
-	/** The worst case. */
+	/** Returns all models and adapters that may be resident: the worst case. */
 	private listPossiblyResident(recorded: readonly HeldModel[]): HeldModel[] {
-		const there = recorded.filter(({name}) => !this.confirmedUnloads.has(name));
-		const more = [...this.orderedLoads].filter(model => !there.some(({name}) => name === model));
-		return [...there, ...more.map((name): HeldModel => ({name, adapters: []}))].map(held => ({name: held.name, adapters: this.adaptersOf(held)}));
+		const recordedModels = recorded.filter(({name}) => !this.confirmedUnloads.has(name));
+		const orderedOnly = [...this.orderedLoads].filter(model => !recordedModels.some(({name}) => name === model));
+		return [...recordedModels, ...orderedOnly.map((name): HeldModel => ({name, adapters: []}))].map(held => ({name: held.name, adapters: this.adaptersOf(held)}));
 	}
 
 	private adaptersOf({name, adapters}: HeldModel): string[] {
--- a/packages/mastvalve-fleet/src/engines/engine-memory.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-memory.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a model fits into an engine's memory: pure.
+ * Computes whether a model fits into an engine's memory, and how long a load takes. Pure functions.
  */
 
 import type {EngineModel} from '../configuration/engine-model.js';
@@ -7,22 +7,22 @@
 import type {EngineState} from './engine-state.js';
 import {WeightSource} from './weight-source.js';
 
-/** What is asked of a specification for every way to every load. */
+/** Derived data of a specification, cached because each load option of each load needs it. */
 type SpecIndex = {models: ReadonlyMap<string, EngineModel>; adapterReserve: number};
 
 const specIndexes = new WeakMap<EngineSpec, SpecIndex>();
 
 const getSpecIndex = (spec: EngineSpec): SpecIndex => {
-	const facts = specIndexes.get(spec) ?? {
+	const index = specIndexes.get(spec) ?? {
 		models: new Map(spec.models.map(model => [model.name, model])),
-		// Room that an engine keeps for adapters, MB: all its slots with the largest ones.
+		// Memory reserved for adapters, MB: all slots filled with the largest adapter.
 		adapterReserve: spec.adapterSlots * Math.max(0, ...spec.models.map(model => model.adapterSize)),
 	};
-	specIndexes.set(spec, facts);
-	return facts;
+	specIndexes.set(spec, index);
+	return index;
 };
 
-/** What of an engine's state takes room. */
+/** The part of an engine's state that occupies memory. */
 export type MemoryContents = Pick<EngineState, 'holds' | 'loading' | 'loadingAdapters'>;
 
 const computeUsedMemory = (models: ReadonlyMap<string, EngineModel>, engine: MemoryContents): number => {
@@ -35,7 +35,7 @@
 	return held + loading + adapters;
 };
 
-/** Memory that is left beside all that an engine holds or was ordered to load, MB; `without` is a model that gives way. */
+/** Returns the memory left beside all that an engine holds or was ordered to load, MB, as if `without` were evicted. */
 export const computeFreeMemory = (spec: EngineSpec, engine: MemoryContents, without?: string): number => {
 	const {models, adapterReserve} = getSpecIndex(spec);
 	const remaining = without === undefined ? engine : {...engine, holds: engine.holds.filter(({name}) => name !== without)};
@@ -44,15 +44,15 @@
 
 const msPerSecond = 1000;
 
-/** How long a load takes, s. */
+/** Returns the duration of a load, s; 0 for an unknown model. */
 export const getLoadSeconds = (spec: EngineSpec, model: string, source: WeightSource): number => {
 	const known = getSpecIndex(spec).models.get(model);
 	const times: Record<WeightSource, number> = {[WeightSource.Memory]: known?.memoryLoadMs ?? 0, [WeightSource.Disk]: known?.diskLoadMs ?? 0, [WeightSource.Store]: known?.storeLoadMs ?? 0};
 	return times[source] / msPerSecond;
 };
 
-/** What a model's weights take, MB. */
+/** Returns the size of a model's weights, MB; infinite for an unknown model. */
 export const getModelSize = (spec: EngineSpec, model: string): number => getSpecIndex(spec).models.get(model)?.size ?? Number.POSITIVE_INFINITY;
 
-/** Whether a model fits beside all that an engine holds or was ordered to load. */
+/** Whether a model fits beside all that an engine holds or was ordered to load, as if `without` were evicted. */
 export const fitsInMemory = (spec: EngineSpec, engine: MemoryContents, model: string, without?: string): boolean => getModelSize(spec, model) <= computeFreeMemory(spec, engine, without);
--- a/packages/mastvalve-fleet/src/engines/engine-order.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-order.ts
@@ -1,12 +1,11 @@
 /**
- * Orders to engines.
+ * Orders that control sends to engines.
  */
 
-/** What an order asks for. */
 export enum EngineOrderKind {
 	Load = 'load',
 	Unload = 'unload',
 }
 
-/** An order for a model, or for an adapter of a model that is there. */
+/** An order for a model, or for an adapter of a resident model. */
 export type EngineOrder = {kind: EngineOrderKind; model: string; adapter: string | undefined};
--- a/packages/mastvalve-fleet/src/engines/engine-state.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-state.ts
@@ -1,29 +1,28 @@
 /**
- * What placement knows of one engine.
+ * The state of one engine as placement sees it.
  */
 
 import type {HeldModel} from '../state/fleet-endpoint.js';
 
-/** One engine. */
 export type EngineState = {
 	id: string;
 	failureDomain: string;
-	/** Whether orders may be given to it now. */
+	/** Whether it accepts orders now. */
 	isReady: boolean;
 	/**
-	 * An order that nobody follows may still be carried out. The next order must be one that needs no room: an unload; once
-	 * it is taken, the other one is void.
+	 * Whether an order of unknown outcome may still be executed. The next order must need no memory, so it must be an unload;
+	 * once the engine accepts it, the earlier order is void.
 	 */
 	hasUnresolvedOrder: boolean;
 	/** Models in accelerator memory. */
 	holds: HeldModel[];
-	/** A model whose load was ordered. */
+	/** Model whose load was ordered. */
 	loading: string | undefined;
-	/** A model that gets no new requests, or whose unloading was ordered. */
+	/** Model that gets no new requests, or whose unload was ordered. */
 	retiring: string | undefined;
 	/** Adapters whose load was ordered, as `model/adapter`. */
 	loadingAdapters: string[];
-	/** Requests a second that it takes; undefined for as many as its time allows. */
+	/** Requests per second that it accepts; undefined without a limit. */
 	limitPerSecond?: number;
 	inMemory: string[];
 	onDisk: string[];
--- a/packages/mastvalve-fleet/src/engines/engine-utilization.ts
+++ b/packages/mastvalve-fleet/src/engines/engine-utilization.ts
@@ -1,20 +1,20 @@
 /**
- * How much engines are used, for one plan: who holds which model, and which part of its time an engine spends on reading
- * prompts. Everything is worked out once for a plan, since a plan asks for it for each way to each load.
+ * Engine utilization for one plan: which engines hold which model, and the share of its time that an engine spends on
+ * reading prompts. Computed once per plan, since a plan needs it for each load option of each load.
  */
 
 import type {EngineState} from './engine-state.js';
 
-/** What it is worked out from. */
+/** Input of the computation. */
 export type EngineUtilizationInput = {
 	engines: readonly EngineState[];
-	/** Requests a second. */
+	/** Requests per second. */
 	rateOf: (model: string) => number;
-	/** Time in which an engine without a queue begins an answer with a model, ms: mostly the reading of the prompt. */
+	/** Time to first byte of an engine with an empty queue, ms: mostly the reading of the prompt. */
 	timeToFirstByteMsOf: (model: string) => number;
 };
 
-/** A model that takes less of an engine's time than this doesn't get another engine because of the others there. */
+/** Below this share of an engine's time, a model gets no additional engine because of other models on that engine. */
 const minOwnShare = 0.1;
 const msPerSecond = 1000;
 
@@ -24,69 +24,71 @@
 const sumBy = (amounts: ReadonlyArray<{name: string; amount: number}>): Map<string, number> =>
 	amounts.reduce((sums, {name, amount}) => sums.set(name, (sums.get(name) ?? 0) + amount), new Map<string, number>());
 
-/** Models that an engine holds and keeps, and the one that is on its way there. */
+/** Returns the models that an engine holds and keeps, and the one that it loads. */
 const listHeld = ({holds, retiring, loading}: EngineState): string[] => {
 	const kept = holds.map(({name}) => name).filter(name => name !== retiring);
 	return loading === undefined || holds.some(({name}) => name === loading) ? kept : [...kept, loading];
 };
 
-/** The use of all engines. */
 export class EngineUtilization {
-	/** Engines that hold a model, by model. */
-	private readonly present: Map<string, number>;
-	/** The same with those to which it is on its way. */
-	private readonly holders: Map<string, number>;
-	/** What those can take of the model, in whole engines. */
+	/** Number of engines that hold a model, by model. */
+	private readonly residentCounts: Map<string, number>;
+	/** The same, including engines that load the model. */
+	private readonly holderCounts: Map<string, number>;
+	/** Capacity of the holders for the model, in whole engines. */
 	private readonly capacities: Map<string, number>;
-	/** Models that some engine without a limit holds, or is about to. */
-	private readonly open: ReadonlySet<string>;
-	private readonly used: Map<string, number>;
-	/** Mean of that over the engines that hold a model, by model. */
-	private readonly usedByHolders: Map<string, number>;
+	/** Models that an engine without a limit holds or loads. */
+	private readonly unlimited: ReadonlySet<string>;
+	private readonly utilization: Map<string, number>;
+	/** Mean utilization of the engines that hold a model, by model. */
+	private readonly utilizationByModel: Map<string, number>;
 
 	constructor(private readonly input: EngineUtilizationInput) {
 		const {engines} = input;
 		const held = engines.flatMap(({holds, retiring}) => holds.map(({name}) => name).filter(name => name !== retiring));
-		this.present = countBy(held);
-		this.holders = countBy(engines.flatMap(engine => listHeld(engine)));
+		this.residentCounts = countBy(held);
+		this.holderCounts = countBy(engines.flatMap(engine => listHeld(engine)));
 		const holdings = engines.flatMap(engine => listHeld(engine).map(name => ({name, limitPerSecond: engine.limitPerSecond})));
 		this.capacities = sumBy(holdings.map(({name, limitPerSecond}) => ({name, amount: this.shareOfLimit(name, limitPerSecond)})));
-		this.open = new Set(holdings.filter(({limitPerSecond}) => limitPerSecond === undefined).map(({name}) => name));
-		this.used = new Map(engines.map(engine => [engine.id, this.sumShares(engine)]));
-		this.usedByHolders = this.averageByModel();
+		this.unlimited = new Set(holdings.filter(({limitPerSecond}) => limitPerSecond === undefined).map(({name}) => name));
+		this.utilization = new Map(engines.map(engine => [engine.id, this.sumShares(engine)]));
+		this.utilizationByModel = this.averageByModel();
 	}
 
-	/** How many engines hold a model, or are about to. */
+	/** Counts the engines that hold or load a model. */
 	countHolders(model: string): number {
-		return this.holders.get(model) ?? 0;
+		return this.holderCounts.get(model) ?? 0;
 	}
 
-	/** How many engines hold a model now; one that is on its way serves nobody yet. */
+	/** Counts the engines that hold a model now; an engine that still loads it serves no requests for it yet. */
 	countResident(model: string): number {
-		return this.present.get(model) ?? 0;
+		return this.residentCounts.get(model) ?? 0;
 	}
 
-	/** Whether requests for a model find an engine that takes as many as it has time for, or will soon. */
+	/** Whether an engine without a limit holds or loads a model. */
 	hasUnlimitedHolder(model: string): boolean {
-		return this.open.has(model);
+		return this.unlimited.has(model);
 	}
 
-	/** Part of its time that an engine spends on all requests. */
+	/** Returns the share of its time that an engine spends on all requests. */
 	utilizationOf(engine: EngineState): number {
-		return this.used.get(engine.id) ?? 0;
+		return this.utilization.get(engine.id) ?? 0;
 	}
 
-	/** How much of their time the engines of a model spend: on its own requests, and on those of the models beside it if it has a part in that. */
+	/**
+	 * Returns the share of their time that the engines of a model spend on its requests, or on all requests if that is more and
+	 * the model's own share is at least `minOwnShare`.
+	 */
 	utilizationOfHolders(model: string, rate: number): number {
 		const own = this.shareOf(model, rate);
 		if (own < minOwnShare) {
 			return own;
 		}
 
-		return Math.max(own, this.usedByHolders.get(model) ?? 0);
+		return Math.max(own, this.utilizationByModel.get(model) ?? 0);
 	}
 
-	/** One pass over all engines: looking for the holders of each model anew makes rounds grow with the square of the models. */
+	/** Takes one pass over all engines: a search for the holders of each model makes planning quadratic in the number of models. */
 	private averageByModel(): Map<string, number> {
 		const sums = new Map<string, {used: number; engines: number}>();
 		this.input.engines.forEach(engine => {
@@ -98,12 +100,12 @@
 		return new Map([...sums].map(([model, {used, engines}]) => [model, used / engines]));
 	}
 
-	/** Part of its time that an engine spends on the requests of one of the models that it holds. */
+	/** Returns the share of its time that an engine spends on the requests for one of its models. */
 	private shareOf(model: string, rate: number): number {
 		return rate * this.input.timeToFirstByteMsOf(model) / msPerSecond / (this.capacities.get(model) ?? 1);
 	}
 
-	/** The part of its time that an engine gives to a model: all of it, or what its limit comes to. */
+	/** Returns the share of its time that an engine has for a model: all of it, or what its limit allows. */
 	private shareOfLimit(model: string, limitPerSecond: number | undefined): number {
 		return limitPerSecond === undefined ? 1 : Math.min(1, limitPerSecond * this.input.timeToFirstByteMsOf(model) / msPerSecond);
 	}
--- a/packages/mastvalve-fleet/src/engines/forecast-rates.ts
+++ b/packages/mastvalve-fleet/src/engines/forecast-rates.ts
@@ -1,40 +1,40 @@
 /**
- * Demand that may come soon. The demand for busy models moves on along the list in which operators declare them, so a
- * model behind a busy one counts as expected.
+ * Forecasts demand per model. Demand for busy models shifts along the list in which operators declare the models, so the
+ * models that follow a busy one are expected to be requested soon.
  */
 
-/** By how many places demand is supposed to move on until that was seen; `DemandStep` replaces it by what is seen. */
+/** Shifts assumed until one is observed by `DemandShiftDetector`, in list positions. */
 const defaultShifts = [2, 3];
-/** What counts of the demand of a model that many places before, while the step is only supposed. */
+/** Weight of the demand for the model one shift earlier in the list, while the shift is only assumed. */
 const assumedShiftWeight = 0.75;
-/** The same once the step was seen; below 1, since present demand goes before expected demand. */
+/** The same weight once a shift was observed; below 1, since current demand takes precedence over expected demand. */
 const observedShiftWeight = 0.9;
 /**
- * Part of that which counts two steps ahead: a load from the store takes 9 s, demand rests for 8 to 15 s between two
- * steps, so the first engine of such a model must be there before the step before.
+ * Additional factor for demand two shifts away. A load from the store takes 9 s and demand stays on a model for 8 to 15 s
+ * between shifts, so the first engine of such a model must hold it before the preceding shift.
  */
 const secondShiftWeight = 0.4;
 
-/** What anticipation rests on. */
+/** Input of a forecast. */
 export type ForecastInput = {
-	/** In the order in which they are declared. */
+	/** Models in declaration order. */
 	models: readonly string[];
-	/** Requests a second now. */
+	/** Current requests per second. */
 	rateOf: (model: string) => number;
-	/** Those of them whose callers have no time for a load; only this demand moves along the list. */
+	/** Current requests per second whose deadline leaves no time for a load; only this demand shifts along the list. */
 	urgentRateOf: (model: string) => number;
-	/** Whether a model was asked for only by callers with time for a load; urgent demand does not reach it. */
+	/** Whether all requests for a model left time for a load; urgent demand does not shift to such a model. */
 	isLatencyTolerant: (model: string) => boolean;
-	/** By how many places demand moved the last time; undefined until it was seen. */
+	/** Last observed shift, in list positions; undefined until one was observed. */
 	shift: number | undefined;
 };
 
-/** The rate of each model now, or a share of that of the models which it may follow, whichever is higher. */
-export const forecastRates = ({models, rateOf, urgentRateOf, isLatencyTolerant: isPatient, shift: step}: ForecastInput): Map<string, number> => {
+/** Returns for each model the higher of its current rate and the weighted rate of the models it may follow, in requests per second. */
+export const forecastRates = ({models, rateOf, urgentRateOf, isLatencyTolerant, shift}: ForecastInput): Map<string, number> => {
 	const urgent = models.map(model => urgentRateOf(model));
-	const steps = step === undefined ? defaultShifts : [step];
-	const share = step === undefined ? assumedShiftWeight : observedShiftWeight;
-	const expect = (rank: number): number => Math.max(...steps.map(places =>
-		Math.max(urgent[rank - places] ?? 0, secondShiftWeight * (urgent[rank - (2 * places)] ?? 0))));
-	return new Map(models.map((model, rank) => [model, Math.max(rateOf(model), isPatient(model) ? 0 : share * expect(rank))]));
+	const shifts = shift === undefined ? defaultShifts : [shift];
+	const weight = shift === undefined ? assumedShiftWeight : observedShiftWeight;
+	const expectRate = (rank: number): number => Math.max(...shifts.map(positions =>
+		Math.max(urgent[rank - positions] ?? 0, secondShiftWeight * (urgent[rank - (2 * positions)] ?? 0))));
+	return new Map(models.map((model, rank) => [model, Math.max(rateOf(model), isLatencyTolerant(model) ? 0 : weight * expectRate(rank))]));
 };
--- a/packages/mastvalve-fleet/src/engines/list-load-options.ts
+++ b/packages/mastvalve-fleet/src/engines/list-load-options.ts
@@ -1,8 +1,8 @@
 /**
- * All ways to bring a model to an engine now, and what each costs: pure.
+ * Lists the options to load a model on an engine now, with the cost of each. Pure functions.
  *
- * A way is a place at an engine that takes orders, free or of a model that gives way. Places are worked out once for a plan,
- * since each load looks at all of them.
+ * An option is an engine that accepts orders, with free memory or a model to evict. Candidates are computed once per plan,
+ * since each load examines all of them.
  */
 
 import {getLoadSeconds, computeFreeMemory, getModelSize} from './engine-memory.js';
@@ -12,112 +12,113 @@
 import type {ModelPlanInput} from './model-plan-input.js';
 import {findSource, WeightSource} from './weight-source.js';
 
-/** What is worked out once for a plan. */
-type PlanFacts = ModelPlanInput & {
-	use: EngineUtilization;
+/** Input of a plan with the data derived from it once. */
+type PlanData = ModelPlanInput & {
+	utilization: EngineUtilization;
 	/** Models with adapters. */
 	withAdapters: ReadonlySet<string>;
 };
 
-/** A plan in the making. */
-export type Planning = PlanFacts & {takers: Taker[]};
+/** Input of a plan with the engines that may load a model. */
+export type PlanContext = PlanData & {candidates: LoadCandidate[]};
 
-/** A model that was loaded for waiting requests serves for this long at the least, ms. */
-const minServeMs = 1500;
-/** A model counts as idle after this long without a request, ms. */
-export const idleAfterMs = 6000;
-/** What a fully used engine costs as the place of another model, beside what a load costs. */
-const usedEngineCost = 10;
+/** Minimum residency of a model before it may be evicted, ms, so that it serves the requests it was loaded for. */
+const minResidencyMs = 1500;
+/** Time without a request after which a model counts as idle, ms. */
+export const idleThresholdMs = 6000;
+/** Cost of loading another model on a fully utilized engine, in addition to the cost of the load. */
+const fullUtilizationCost = 10;
 
 const isFree = (engine: EngineState): boolean => engine.isReady && engine.loading === undefined && engine.retiring === undefined;
 
 /**
- * What the last place of a model that is still asked for is worth beside its demand, requests a second: little when its
- * callers have time for a load, more when each of them would be late without it.
+ * Value of the last resident copy of a recently requested model in addition to its demand, requests/s: low when deadlines
+ * leave time for a load, higher when each request would miss its deadline without the copy.
  */
-const askedWorth = 0.5;
-const urgentWorth = 1.5;
+const recentDemandValue = 0.5;
+const urgentDemandValue = 1.5;
 
-/** How much a place is worth to a model: its demand, of now or soon, for each of its engines. */
-const worthOfPlace = (input: PlanFacts, model: string): number => {
-	const holders = Math.max(1, input.use.countResident(model));
+/** Returns the value of one resident copy of a model: its forecast demand per engine, requests/s. */
+const computeResidencyValue = (input: PlanData, model: string): number => {
+	const holders = Math.max(1, input.utilization.countResident(model));
 	const rate = input.expectedRateOf(model);
 	if (holders > 1) {
 		return rate / holders;
 	}
 
-	// The last place of a model that is still asked for, or soon will be, is worth more than any second one.
-	return rate + (input.idleMsOf(model) < idleAfterMs ? askedWorth : 0) + (input.urgentIdleMsOf(model) < idleAfterMs ? urgentWorth : 0);
+	// The last copy of a model with recent or expected demand is worth more than any second copy.
+	return rate + (input.idleMsOf(model) < idleThresholdMs ? recentDemandValue : 0) + (input.urgentIdleMsOf(model) < idleThresholdMs ? urgentDemandValue : 0);
 };
 
-/** Cost of each request a second for adapters of an engine that takes no orders for the time of a load from the store. */
+/** Cost per adapter request/s of an engine, which accepts no orders during a load from the store. */
 const blockedAdapterCost = 2;
 
-/** Requests a second that an engine gets for models with adapters. */
-const adapterDemand = (input: PlanFacts, engine: EngineState): number =>
+/** Returns the requests per second that an engine gets for models with adapters. */
+const sumAdapterRates = (input: PlanData, engine: EngineState): number =>
 	engine.holds
 		.filter(({name}) => input.withAdapters.has(name))
-		.reduce((sum, {name}) => sum + (input.rateOf(name) / Math.max(1, input.use.countHolders(name))), 0);
+		.reduce((sum, {name}) => sum + (input.rateOf(name) / Math.max(1, input.utilization.countHolders(name))), 0);
 
-/** A place at an engine, MB: beside all that it holds, or that of a model which gives way. */
-type Place = {evict: string | undefined; evictedWorth: number; room: number};
+/** Memory available on an engine, MB: its free memory, or that after an eviction. */
+type AvailableMemory = {evict: string | undefined; evictedValue: number; freeMb: number};
 
-/** An engine that takes orders now, with its places; worked out once for a plan, since each load looks at all of them. */
-type Taker = {engine: EngineState; held: ReadonlySet<string>; places: Place[]; usedCost: number; storeCost: number};
+/** An engine that accepts orders now. */
+type LoadCandidate = {engine: EngineState; held: ReadonlySet<string>; availableMemory: AvailableMemory[]; utilizationCost: number; storeCost: number};
 
-const listPlaces = (input: PlanFacts, engine: EngineState): Place[] => [
-	// An order that may still come late could take the free place.
-	...(engine.hasUnresolvedOrder ? [] : [{evict: undefined, evictedWorth: 0, room: computeFreeMemory(input.spec, engine)}]),
+const listAvailableMemory = (input: PlanData, engine: EngineState): AvailableMemory[] => [
+	// An unresolved order may still use the free memory.
+	...(engine.hasUnresolvedOrder ? [] : [{evict: undefined, evictedValue: 0, freeMb: computeFreeMemory(input.spec, engine)}]),
 	...engine.holds
-		.filter(({name}) => input.residencyMsOf(engine.id, name) > minServeMs)
-		.map(({name}) => ({evict: name, evictedWorth: worthOfPlace(input, name), room: computeFreeMemory(input.spec, engine, name)})),
+		.filter(({name}) => input.residencyMsOf(engine.id, name) > minResidencyMs)
+		.map(({name}) => ({evict: name, evictedValue: computeResidencyValue(input, name), freeMb: computeFreeMemory(input.spec, engine, name)})),
 ];
 
-const listTakers = (input: PlanFacts): Taker[] =>
+const listCandidates = (input: PlanData): LoadCandidate[] =>
 	input.engines.filter(engine => isFree(engine)).map(engine => ({
 		engine,
 		held: new Set(engine.holds.map(({name}) => name)),
-		places: listPlaces(input, engine),
-		// An engine that takes few requests would bring a model little more room than none.
-		usedCost: (engine.limitPerSecond === undefined ? input.use.utilizationOf(engine) : 1) * usedEngineCost,
-		storeCost: adapterDemand(input, engine) * blockedAdapterCost,
+		availableMemory: listAvailableMemory(input, engine),
+		// An engine with a limit adds little capacity for a model.
+		utilizationCost: (engine.limitPerSecond === undefined ? input.utilization.utilizationOf(engine) : 1) * fullUtilizationCost,
+		storeCost: sumAdapterRates(input, engine) * blockedAdapterCost,
 	}));
 
-/** Works out once what each load of a plan asks for. */
-export const preparePlanning = (given: ModelPlanInput): Planning => {
+/** Computes once the data that each load of a plan needs. */
+export const createPlanContext = (given: ModelPlanInput): PlanContext => {
 	const withAdapters = new Set(given.spec.models.filter(({adapterCount}) => adapterCount > 0).map(({name}) => name));
-	const facts = {...given, use: new EngineUtilization(given), withAdapters};
-	return {...facts, takers: listTakers(facts)};
+	const data = {...given, utilization: new EngineUtilization(given), withAdapters};
+	return {...data, candidates: listCandidates(data)};
 };
 
-/** A change that is possible now, with what it costs and the worth of the place that gives way. */
-export type LoadWay = ModelMove & {cost: number; evictedWorth: number};
+/** A move that is possible now, with its cost and the value of the evicted copy. */
+export type LoadOption = ModelMove & {cost: number; evictedValue: number};
 
-/** Least demand by which the time of a load counts, requests/s: a model that nobody asks for is no reason for a slow way either. */
-const leastNeed = 1;
+/** Minimum demand by which the duration of a load is weighted, requests/s, so that a model without demand isn't loaded from a slow source either. */
+const minUnservedPerSecond = 1;
 
 /**
- * All ways to bring a model to an engine now; one with a free place for it needs no other. `need` is what goes unserved until the
- * load ends, in requests a second, so that a busy model takes the place next to its weights also when that gives more away. The
- * load that it answers: demand moves to models whose weights lie on the disks of a few engines. With one price for each source,
- * models would be fetched from the store although a free engine has their weights near.
+ * Returns the options to load a model now; an engine with enough free memory gets no option with an eviction.
+ *
+ * `unservedPerSecond` is the demand that goes unserved until the load ends, so a busy model is loaded where its weights are near
+ * even if the evicted model is worth more. Demand shifts to models whose weights are on the disks of a few engines: with a fixed
+ * cost per source, models would be loaded from the store although a free engine has their weights near.
  */
-export const listWays = (input: Planning, load: string, need: number): LoadWay[] => {
+export const listLoadOptions = (input: PlanContext, load: string, unservedPerSecond: number): LoadOption[] => {
 	const size = getModelSize(input.spec, load);
-	const lostPerSecond = Math.max(leastNeed, need);
-	return input.takers
+	const lostPerSecond = Math.max(minUnservedPerSecond, unservedPerSecond);
+	return input.candidates
 		.filter(({held}) => !held.has(load))
-		.flatMap(({engine, places, usedCost, storeCost}): LoadWay[] => {
+		.flatMap(({engine, availableMemory, utilizationCost, storeCost}): LoadOption[] => {
 			const source = findSource(engine, load);
 			if (source === WeightSource.Store && input.availableStoreLoads <= 0) {
 				return [];
 			}
 
-			const loadCost = (getLoadSeconds(input.spec, load, source) * lostPerSecond) + usedCost + (source === WeightSource.Store ? storeCost : 0);
-			const fitting = places.filter(({room}) => size <= room);
+			const loadCost = (getLoadSeconds(input.spec, load, source) * lostPerSecond) + utilizationCost + (source === WeightSource.Store ? storeCost : 0);
+			const fitting = availableMemory.filter(({freeMb}) => size <= freeMb);
 			const free = fitting.find(({evict}) => evict === undefined);
-			return (free ? [free] : fitting).map(({evict, evictedWorth}) => ({
-				engine: engine.id, load, source, evict, evictedWorth, cost: loadCost + (evict === undefined ? 0 : (evictedWorth * 3) + 1),
+			return (free ? [free] : fitting).map(({evict, evictedValue}) => ({
+				engine: engine.id, load, source, evict, evictedValue, cost: loadCost + (evict === undefined ? 0 : (evictedValue * 3) + 1),
 			}));
 		});
 };
--- a/packages/mastvalve-fleet/src/engines/model-demand-estimate.ts
+++ b/packages/mastvalve-fleet/src/engines/model-demand-estimate.ts
@@ -1,53 +1,52 @@
 /**
- * How much each model is asked for, from what entries count. Old demand fades.
+ * Estimates the request rate of each model from the counts of entries, with exponential decay.
  */
 
-/** Time after which an unrepeated request counts for a third, ms. Demand moves along the list of models in 5 to 6 s. */
+/** Time constant of the decay, ms: after it, a request counts for about a third. Demand shifts along the list of models in 5 to 6 s. */
 const decayMs = 4000;
 const msPerSecond = 1000;
 
 type DecayedCount = {amount: number; at: number; lastAt: number};
 
-/** The estimate. */
 export class ModelDemandEstimate {
 	private readonly models = new Map<string, DecayedCount>();
 	private expected = new Map<string, number>();
-	/** When the first request came, ms. */
+	/** Time of the first request, ms. */
 	private firstRecordedAt: number | undefined;
 
-	/** Whether anything was ever asked for. */
+	/** Whether no request was ever recorded. */
 	get isEmpty(): boolean {
 		return this.models.size === 0;
 	}
 
-	/** What is expected before the first request, in requests a second; it fades from then on. */
+	/** Sets the rates expected before the first request, in requests per second; they decay from the first request on. */
 	setExpectedRates(rates: ReadonlyArray<[string, number]>): void {
 		this.expected = new Map(rates);
 	}
 
-	/** Whether a model was ever asked for. */
+	/** Whether a request for a model was ever recorded. */
 	hasRecorded(model: string): boolean {
 		return this.models.has(model);
 	}
 
-	/** Counts requests for a model. */
+	/** Adds requests for a model; `now` in ms. */
 	record(model: string, requests: number, now: number): void {
 		this.firstRecordedAt ??= now;
 		this.models.set(model, {amount: this.decayedCountOf(model, now) + requests, at: now, lastAt: now});
 	}
 
-	/** Requests a second: as they come, or as they were expected before the first one. */
+	/** Returns requests per second: the higher of the observed rate and what remains of the expected one. */
 	rateOf(model: string, now: number): number {
 		const expected = (this.expected.get(model) ?? 0) * Math.exp(-(now - (this.firstRecordedAt ?? now)) / decayMs);
 		return Math.max(expected, this.observedRateOf(model, now));
 	}
 
-	/** Requests a second that callers have made, without what was only expected before the first one. */
+	/** Returns requests per second from recorded requests only, without the expected rates. */
 	observedRateOf(model: string, now: number): number {
 		return this.decayedCountOf(model, now) / (decayMs / msPerSecond);
 	}
 
-	/** Time since the last request, ms. */
+	/** Returns the time since the last request, ms; infinite if there was none. */
 	idleMsOf(model: string, now: number): number {
 		return now - (this.models.get(model)?.lastAt ?? Number.NEGATIVE_INFINITY);
 	}
--- a/packages/mastvalve-fleet/src/engines/model-move.ts
+++ b/packages/mastvalve-fleet/src/engines/model-move.ts
@@ -1,14 +1,13 @@
 /**
- * A change of models at one engine.
+ * A model load on one engine, with its eviction.
  */
 
 import type {WeightSource} from './weight-source.js';
 
-/** A change of one engine. */
 export type ModelMove = {
 	engine: string;
 	load: string;
-	/** What must be unloaded first. */
+	/** Model to unload first. */
 	evict: string | undefined;
 	source: WeightSource;
 };
--- a/packages/mastvalve-fleet/src/engines/model-plan-input.ts
+++ b/packages/mastvalve-fleet/src/engines/model-plan-input.ts
@@ -1,28 +1,27 @@
 /**
- * What a plan of models rests on: engines, demand, and what the store allows now.
+ * Input of a model plan: engines, demand, and the loads that the store allows now.
  */
 
 import type {EngineSpec} from '../configuration/served-service.js';
 import type {EngineUtilizationInput} from './engine-utilization.js';
 
-/** A model that requests wait for, and how many do. */
+/** A model with queued requests, and their number. */
 export type PendingModel = {model: string; waiting: number};
 
-/** What the plan rests on. */
 export type ModelPlanInput = EngineUtilizationInput & {
 	spec: EngineSpec;
-	/** Models that requests wait for. */
+	/** Models with queued requests. */
 	pending: readonly PendingModel[];
-	/** Requests a second that may come soon: those of now, or a part of those of the models declared before it. */
+	/** Forecast requests per second: the current rate, or a share of the rates of models declared earlier. */
 	expectedRateOf: (model: string) => number;
-	/** The part of that which follows from requests that were made; the rest is only supposed before the first one. */
+	/** The part of the forecast that follows from recorded requests; the rest is assumed before the first request. */
 	observedRateOf: (model: string) => number;
-	/** Time since a model was last asked for, ms. */
+	/** Time since the last request for a model, ms. */
 	idleMsOf: (model: string) => number;
-	/** Time since a model was last asked for by a caller without time for a load, ms. */
+	/** Time since the last request for a model whose deadline left no time for a load, ms. */
 	urgentIdleMsOf: (model: string) => number;
-	/** How long an engine has held a model, ms. */
+	/** Time for which an engine has held a model, ms. */
 	residencyMsOf: (engine: string, model: string) => number;
-	/** Loads from the store that may begin now. */
+	/** Loads from the store that may start now. */
 	availableStoreLoads: number;
 };
--- a/packages/mastvalve-fleet/src/engines/store-load-limiter.ts
+++ b/packages/mastvalve-fleet/src/engines/store-load-limiter.ts
@@ -1,42 +1,40 @@
 /**
- * Loads from the weight store that may begin now: a sliding window over those that began. A load whose order has not been
- * answered may begin at any time, so it counts until it is known to have begun.
+ * Rate limiter for loads from the weight store: a sliding window over started loads. A load whose order has not been
+ * answered may start at any time, so it counts until its start is known.
  */
 
-/** Bounds of the store. */
+/** Rate limit of the store. */
 export type StoreLoadLimits = {windowMs: number; loadsPerSecond: number};
 
-/** A load that was decided on. */
-type StoreLoad = {at: number; hasBegun: boolean};
+type StoreLoad = {at: number; hasStarted: boolean};
 
 const msPerSecond = 1000;
-/** Loads that began longer ago count in no window, ms; windows are of some seconds. */
+/** Loads that started longer ago count in no window and are dropped, ms; windows last some seconds. */
 const retentionMs = 60_000;
 
-/** The rate. */
 export class StoreLoadLimiter {
 	private loads: StoreLoad[] = [];
 
-	/** A load is ordered; the result is to be called when it is known to have begun, with the latest time for that, ms. */
+	/** Reserves a load. The caller calls the result once the load is known to have started, with its latest possible start, ms. */
 	reserve(): (at: number) => void {
-		const load = {at: 0, hasBegun: false};
+		const load = {at: 0, hasStarted: false};
 		this.loads.push(load);
 		return at => {
-			load.at = load.hasBegun ? load.at : at;
-			load.hasBegun = true;
+			load.at = load.hasStarted ? load.at : at;
+			load.hasStarted = true;
 		};
 	}
 
-	/** A load has begun at that time at the latest, ms. */
+	/** Records a load that started at `at` at the latest, ms. */
 	recordStart(at: number): void {
-		this.loads = this.loads.filter(load => !load.hasBegun || at - load.at < retentionMs);
+		this.loads = this.loads.filter(load => !load.hasStarted || at - load.at < retentionMs);
 		this.reserve()(at);
 	}
 
-	/** How many may begin now. */
+	/** Counts the loads that may start now. */
 	countAvailable({windowMs, loadsPerSecond}: StoreLoadLimits, now: number): number {
-		this.loads = this.loads.filter(load => !load.hasBegun || now - load.at < retentionMs);
-		const counted = this.loads.filter(load => !load.hasBegun || now - load.at < windowMs);
+		this.loads = this.loads.filter(load => !load.hasStarted || now - load.at < retentionMs);
+		const counted = this.loads.filter(load => !load.hasStarted || now - load.at < windowMs);
 		return Math.floor(loadsPerSecond * windowMs / msPerSecond) - counted.length;
 	}
 }
--- a/packages/mastvalve-fleet/src/engines/weight-source.ts
+++ b/packages/mastvalve-fleet/src/engines/weight-source.ts
@@ -1,15 +1,15 @@
 /**
- * Where the weights of a load come from.
+ * Sources of model weights.
  */
 
-/** Where the weights of a load come from. */
+/** Where a load reads the weights from. */
 export enum WeightSource {
 	Memory = 'memory',
 	Disk = 'disk',
 	Store = 'store',
 }
 
-/** Where an engine would take a model from. */
+/** Returns the fastest source from which an engine can load a model. */
 export const findSource = (engine: {inMemory: readonly string[]; onDisk: readonly string[]}, model: string): WeightSource => {
 	if (engine.inMemory.includes(model)) {
 		return WeightSource.Memory;
