--- a/packages/mastvalve-fleet-control/src/fleet-control.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-control.ts
@@ -195,13 +195,13 @@
 
 	/** Takes a heartbeat. It is acknowledged once all that is new in it is committed. */
 	async report(report: EndpointReport): Promise<Result<true, MastvalveError>> {
-		if (this.group.isCurrent && !this.machine.mayTake(report)) {
+		if (this.group.isCurrent && !this.machine.acceptsReport(report)) {
 			this.options.onEvent('endpoint.refused', `${report.id} at ${report.address}: a later incarnation is known, or no configuration names the service ${report.service}`);
 			return err(new UnknownEndpointError(report.id));
 		}
 
 		this.liveness.recordHeartbeats([report.id], this.options.clock.now());
-		if (this.group.isCurrent && !this.machine.isNews(report)) {
+		if (this.group.isCurrent && !this.machine.changesState(report)) {
 			return ok(true);
 		}
 
--- a/packages/mastvalve-fleet-control/src/follow.ts
+++ b/packages/mastvalve-fleet-control/src/follow.ts
@@ -2,12 +2,12 @@
  * What an entry asks for when it follows the fleet, and what it gets.
  */
 
-import type {FleetPlace, FleetUpdate} from 'mastvalve-fleet';
+import type {FleetCursor, FleetUpdate} from 'mastvalve-fleet';
 
 /** A follower's question. */
 export type FollowRequest = {
 	/** How far the follower knows the changes. */
-	place: FleetPlace;
+	place: FleetCursor;
 	/** How long to wait for a change, ms. */
 	waitMs: number;
 	/** Whether the answer must include all that was committed before the question. */
--- a/packages/mastvalve-fleet/__tests__/fleet.steps.ts
+++ b/packages/mastvalve-fleet/__tests__/fleet.steps.ts
@@ -8,8 +8,8 @@
 } from '@cucumber/cucumber';
 import fc from 'fast-check';
 import {
-	ChangeFeed, ConfigurationChangeKind, EndpointPhase, FleetCommandKind, FleetMachine, keyOfRoute, maxPartBytes, RouteKind, RouteTable,
-	type EndpointReport, type FeedCursor, type FleetCommand, type FleetEndpoint, type FleetPlace, type Route, type StatedConfiguration,
+	ChangeFeed, ConfigurationChangeKind, EndpointPhase, FleetCommandKind, FleetMachine, keyOfRoute, maxPageBytes, RouteKind, RouteTable,
+	type EndpointReport, type FeedCursor, type FleetCommand, type FleetEndpoint, type FleetCursor, type Route, type StatedConfiguration,
 } from '../src/index.js';
 
 type FleetWorld = World & {machine: FleetMachine; index: number};
@@ -148,7 +148,7 @@
 	const held = new Map<string, FleetEndpoint>();
 	const routes = new Map<string, Route>();
 	const quarantined = new Set<string>();
-	let place: FleetPlace = {};
+	let place: FleetCursor = {};
 	let version: number | undefined;
 	const ask = (): void => {
 		const {endpoints, configuration, quarantine} = machine.changesSince(place);
@@ -230,7 +230,7 @@
 });
 
 /** A feed whose parts hold two changes. */
-const createPairFeed = (): ChangeFeed<string> => new ChangeFeed<string>(() => maxPartBytes / 2);
+const createPairFeed = (): ChangeFeed<string> => new ChangeFeed<string>(() => maxPageBytes / 2);
 
 type FeedStep = {key: string; isForgotten: boolean; isSameRevision: boolean; reader: number};
 
--- a/packages/mastvalve-fleet/src/configuration/configuration-history.ts
+++ b/packages/mastvalve-fleet/src/configuration/configuration-history.ts
@@ -5,7 +5,7 @@
  * it was.
  */
 
-import {ChangeFeed, type FeedPlace} from '../state/change-feed.js';
+import {ChangeFeed, type FeedPosition} from '../state/change-feed.js';
 import {ConfigurationChangeKind, type ConfigurationChange} from './configuration-change.js';
 import {keyOfRoute} from './route-table.js';
 import {keyOfWorkspace} from './workspace-key.js';
@@ -55,7 +55,7 @@
 };
 
 /** The history as plain data: revisions by key, and which keys are of removed routes and workspaces. */
-export type HistorySnapshot = {revisions: Array<[key: string, revision: number]>; forgotten: FeedPlace};
+export type HistorySnapshot = {revisions: Array<[key: string, revision: number]>; forgotten: FeedPosition};
 
 const isSame = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
 
@@ -90,7 +90,7 @@
 	/** Keys of removed routes and workspaces, the one removed first at the front. */
 	private readonly removed = new Set<string>();
 
-	constructor(forgotten?: FeedPlace) {
+	constructor(forgotten?: FeedPosition) {
 		this.feed = new ChangeFeed(estimateBytes, forgotten);
 	}
 
--- a/packages/mastvalve-fleet/src/quarantine/crash-history.ts
+++ b/packages/mastvalve-fleet/src/quarantine/crash-history.ts
@@ -7,7 +7,7 @@
  */
 
 import {BoundedMap} from 'mastvalve-utils';
-import {ChangeFeed, type FeedPlace} from '../state/change-feed.js';
+import {ChangeFeed, type FeedPosition} from '../state/change-feed.js';
 import type {CrashReport} from './crash-report.js';
 import type {QuarantineChange} from './quarantine-change.js';
 
@@ -30,7 +30,7 @@
 	/** Lives of endpoints by fingerprint, the one that was near a crash longest ago first. */
 	suspects: Array<[string, string[]]>;
 	quarantine: Array<QuarantineChange & {revision: number}>;
-	forgotten: FeedPlace;
+	forgotten: FeedPosition;
 };
 
 /** The history. */
@@ -50,7 +50,7 @@
 	private readonly suspects = new BoundedMap<string, string[]>(maxSuspects);
 	private readonly quarantine = new BoundedMap<string, boolean>(maxQuarantined);
 
-	constructor(forgotten?: FeedPlace) {
+	constructor(forgotten?: FeedPosition) {
 		this.feed = new ChangeFeed(() => changeBytes, forgotten);
 	}
 
--- a/packages/mastvalve-fleet/src/state/apply-report.ts
+++ b/packages/mastvalve-fleet/src/state/apply-report.ts
@@ -61,7 +61,7 @@
 ]);
 
 /** Whether a heartbeat says anything that the state doesn't; only then it needs the log. */
-export const isNews = (known: FleetEndpoint | undefined, report: EndpointReport): boolean => {
+export const changesEndpoint = (known: FleetEndpoint | undefined, report: EndpointReport): boolean => {
 	if (!known) {
 		return true;
 	}
--- a/packages/mastvalve-fleet/src/state/change-feed.ts
+++ b/packages/mastvalve-fleet/src/state/change-feed.ts
@@ -7,16 +7,16 @@
  */
 
 /** A place among the changes; those of one revision are ordered by key. */
-export type FeedPlace = {revision: number; key: string};
+export type FeedPosition = {revision: number; key: string};
 
 /** A reader's place: behind all changes up to this one. */
-export type FeedCursor = FeedPlace & {
+export type FeedCursor = FeedPosition & {
 	/** Newest revision at the moment at which the reader began; it holds nothing that was superseded before. */
 	begunAt: number;
 };
 
 /** What a reader gets at once. */
-export type FeedPart<T> = {
+export type FeedPage<T> = {
 	/** Set when the reader must forget all that it has: what it missed is not kept any more. */
 	isWhole: boolean;
 	changes: T[];
@@ -32,11 +32,11 @@
  * Size of a part, in bytes of JSON as estimated. At 7 Mbit/s, the slowest links met, it takes 75 ms unpacked, so a change
  * that stops traffic to an endpoint never waits for long behind a large configuration.
  */
-export const maxPartBytes = 65_536;
+export const maxPageBytes = 65_536;
 /** Superseded changes are swept out once there are this many beside as many as are kept. */
 const minSuperseded = 64;
 
-const compare = (a: FeedPlace, b: FeedPlace): number => {
+const compare = (a: FeedPosition, b: FeedPosition): number => {
 	if (a.revision !== b.revision) {
 		return a.revision - b.revision;
 	}
@@ -48,7 +48,7 @@
 	return a.key < b.key ? -1 : 1;
 };
 
-const start: FeedPlace = {revision: -1, key: ''};
+const start: FeedPosition = {revision: -1, key: ''};
 
 /** The feed. */
 export class ChangeFeed<T> {
@@ -56,10 +56,10 @@
 	/** By revision, then key; with superseded ones. */
 	private ordered: Array<Entry<T>> = [];
 	/** `estimateBytes` tells about how long a change is as JSON; readers before `forgotten` may hold what was forgotten. */
-	constructor(private readonly estimateBytes: (change: T) => number, private forgotten: FeedPlace = start) {}
+	constructor(private readonly estimateBytes: (change: T) => number, private forgotten: FeedPosition = start) {}
 
 	/** The newest place of all that was forgotten. */
-	get forgottenUpTo(): FeedPlace {
+	get forgottenUpTo(): FeedPosition {
 		return this.forgotten;
 	}
 
@@ -90,7 +90,7 @@
 	}
 
 	/** Whether something follows a reader's place. */
-	hasMore(cursor: FeedPlace | undefined): boolean {
+	hasMore(cursor: FeedPosition | undefined): boolean {
 		const last = this.ordered.findLast(entry => this.isLatest(entry));
 		return last !== undefined && compare(cursor ?? start, last) < 0;
 	}
@@ -101,7 +101,7 @@
 	}
 
 	/** The part that follows a reader's place; without a place, the first one. */
-	readAfter(cursor: FeedCursor | undefined): FeedPart<T> {
+	readAfter(cursor: FeedCursor | undefined): FeedPage<T> {
 		const isWhole = cursor === undefined || this.mayHoldForgotten(cursor);
 		const from: FeedCursor = isWhole ? {...start, begunAt: this.newestRevision} : cursor;
 		const entries = this.collectAfter(from);
@@ -117,11 +117,11 @@
 	}
 
 	/** Newest changes behind a place, as many as a part holds; one at the least. */
-	private collectAfter(from: FeedPlace): Array<Entry<T>> {
+	private collectAfter(from: FeedPosition): Array<Entry<T>> {
 		const entries: Array<Entry<T>> = [];
 		let bytes = 0;
 		let at = this.findAfter(from);
-		while (at < this.ordered.length && bytes < maxPartBytes) {
+		while (at < this.ordered.length && bytes < maxPageBytes) {
 			const entry = this.ordered[at]!;
 			at += 1;
 			if (this.isLatest(entry)) {
@@ -142,7 +142,7 @@
 	}
 
 	/** Index of the first entry behind a place, by bisection. */
-	private findAfter(cursor: FeedPlace): number {
+	private findAfter(cursor: FeedPosition): number {
 		let low = 0;
 		let high = this.ordered.length;
 		while (low < high) {
--- a/packages/mastvalve-fleet/src/state/endpoint-incarnation.ts
+++ b/packages/mastvalve-fleet/src/state/endpoint-incarnation.ts
@@ -12,24 +12,24 @@
 	 * When it started by its own clock, ms since the epoch; undefined for one that doesn't tell. Clocks of machines step, so it
 	 * orders the incarnations of one name and nothing else, and not even those for certain.
 	 */
-	bornAt: number | undefined;
+	startedAt: number | undefined;
 };
 
 const separator = '#';
-const pattern = /^(?<name>.+)#(?<bornAt>\d+)$/v;
+const pattern = /^(?<name>.+)#(?<startedAt>\d+)$/v;
 
 /** The identity of an incarnation. */
-export const formatIncarnation = ({name, bornAt}: EndpointIncarnation): string => (bornAt === undefined ? name : `${name}${separator}${bornAt}`);
+export const formatIncarnation = ({name, startedAt}: EndpointIncarnation): string => (startedAt === undefined ? name : `${name}${separator}${startedAt}`);
 
 /** The incarnation that an identity names. */
 export const parseIncarnation = (id: string): EndpointIncarnation => {
 	const groups = pattern.exec(id)?.groups;
-	return groups?.name === undefined ? {name: id, bornAt: undefined} : {name: groups.name, bornAt: Number(groups.bornAt)};
+	return groups?.name === undefined ? {name: id, startedAt: undefined} : {name: groups.name, startedAt: Number(groups.startedAt)};
 };
 
 /** Whether an identity is that of an earlier incarnation of the same endpoint than another one, as far as births tell. */
 export const isEarlierIncarnation = (id: string, other: string): boolean => {
-	const {name, bornAt = Number.NEGATIVE_INFINITY} = parseIncarnation(id);
-	const {name: otherName, bornAt: otherBornAt = Number.NEGATIVE_INFINITY} = parseIncarnation(other);
-	return name === otherName && bornAt < otherBornAt;
+	const {name, startedAt = Number.NEGATIVE_INFINITY} = parseIncarnation(id);
+	const {name: otherName, startedAt: otherStartedAt = Number.NEGATIVE_INFINITY} = parseIncarnation(other);
+	return name === otherName && startedAt < otherStartedAt;
 };
--- a/packages/mastvalve-fleet/src/state/endpoint-register.ts
+++ b/packages/mastvalve-fleet/src/state/endpoint-registry.ts
@@ -6,7 +6,7 @@
  */
 
 import {applyHoldings, applyReport} from './apply-report.js';
-import {ChangeFeed, type FeedPlace} from './change-feed.js';
+import {ChangeFeed, type FeedPosition} from './change-feed.js';
 import {isEarlierIncarnation, parseIncarnation} from './endpoint-incarnation.js';
 import {EndpointStore} from './endpoint-store.js';
 import type {Holdings, RecordedLimit} from './fleet-command.js';
@@ -25,7 +25,7 @@
 };
 
 /** The register. */
-export class EndpointRegister {
+export class EndpointRegistry {
 	/** What followers read. */
 	feed = new ChangeFeed<FleetEndpoint>(estimateEndpoint);
 	private readonly store = new EndpointStore();
@@ -40,7 +40,7 @@
 	}
 
 	/** Begins anew with what a snapshot holds. */
-	restore(endpoints: readonly FleetEndpoint[], forgotten: FeedPlace | undefined): void {
+	restore(endpoints: readonly FleetEndpoint[], forgotten: FeedPosition | undefined): void {
 		this.store.clear();
 		this.feed = new ChangeFeed(estimateEndpoint, forgotten);
 		endpoints.forEach(endpoint => {
@@ -56,7 +56,7 @@
 	 * ends nobody. The one that is known is believed over an earlier birth only while it is heard: the clock of its machine may have
 	 * been set back before the next start.
 	 */
-	mayTake({id}: EndpointReport): boolean {
+	acceptsReport({id}: EndpointReport): boolean {
 		const current = this.store.findCurrent(parseIncarnation(id).name);
 		const isHeard = current?.phase === EndpointPhase.Ready || current?.phase === EndpointPhase.Leaving;
 		return !(isHeard && isEarlierIncarnation(id, current.id));
--- a/packages/mastvalve-fleet/src/state/fleet-machine.ts
+++ b/packages/mastvalve-fleet/src/state/fleet-machine.ts
@@ -10,12 +10,12 @@
 import type {StatedConfiguration} from '../configuration/serving-configuration.js';
 import {CrashHistory, type CrashSnapshot} from '../quarantine/crash-history.js';
 import type {CrashReport} from '../quarantine/crash-report.js';
-import {isNews} from './apply-report.js';
-import type {FeedPlace} from './change-feed.js';
-import {EndpointRegister} from './endpoint-register.js';
+import {changesEndpoint} from './apply-report.js';
+import type {FeedPosition} from './change-feed.js';
+import {EndpointRegistry} from './endpoint-registry.js';
 import {FleetCommandKind, type FleetCommand} from './fleet-command.js';
 import type {EndpointReport, FleetEndpoint} from './fleet-endpoint.js';
-import type {FleetPlace, FleetUpdate} from './fleet-update.js';
+import type {FleetCursor, FleetUpdate} from './fleet-update.js';
 
 /** The state as plain data. */
 export type FleetSnapshot = {
@@ -24,7 +24,7 @@
 	/** Missing in snapshots of earlier versions. */
 	history?: HistorySnapshot;
 	/** Up to where endpoints were forgotten; missing in snapshots of earlier versions. */
-	forgotten?: FeedPlace;
+	forgotten?: FeedPosition;
 	endpoints: FleetEndpoint[];
 	orderHolder: string | undefined;
 	/** Missing in snapshots of earlier versions. */
@@ -39,7 +39,7 @@
 	private configuredAt = 0;
 	/** The control instance that gives orders to engines. */
 	private orderHolder: string | undefined;
-	private readonly endpoints = new EndpointRegister();
+	private readonly endpoints = new EndpointRegistry();
 	private history = new ConfigurationHistory();
 	private crashes = new CrashHistory();
 
@@ -59,15 +59,15 @@
 	}
 
 	/** Whether a heartbeat is of an endpoint to use (`endpoint-register.ts`), and of a service that the configuration names. */
-	mayTake(report: EndpointReport): boolean {
+	acceptsReport(report: EndpointReport): boolean {
 		const services = this.stated?.configuration.services;
 		const isServed = services === undefined || services.some(({name}) => name === report.service);
-		return isServed && this.endpoints.mayTake(report);
+		return isServed && this.endpoints.acceptsReport(report);
 	}
 
 	/** Whether a heartbeat says anything that the state doesn't; only then it needs the log. */
-	isNews(report: EndpointReport): boolean {
-		return this.mayTake(report) && isNews(this.endpoints.find(report.id), report);
+	changesState(report: EndpointReport): boolean {
+		return this.acceptsReport(report) && changesEndpoint(this.endpoints.find(report.id), report);
 	}
 
 	/** Requests that are not handed to any endpoint, by their fingerprints. */
@@ -105,7 +105,7 @@
 	}
 
 	/** What changed behind a follower's place, or the first part of it. */
-	changesSince(place: FleetPlace): FleetUpdate {
+	changesSince(place: FleetCursor): FleetUpdate {
 		return {
 			revision: this.revision,
 			endpoints: this.endpoints.feed.readAfter(place.endpoints),
@@ -115,12 +115,12 @@
 	}
 
 	/** Whether there are changes behind a follower's place. */
-	hasChangesSince(place: FleetPlace): boolean {
+	hasChangesSince(place: FleetCursor): boolean {
 		return this.endpoints.feed.hasMore(place.endpoints) || this.history.feed.hasMore(place.configuration) || this.crashes.feed.hasMore(place.quarantine);
 	}
 
 	/** Whether a follower has read changes that this copy of the state lacks yet. */
-	isBehind(place: FleetPlace): boolean {
+	isBehind(place: FleetCursor): boolean {
 		return Math.max(place.endpoints?.revision ?? 0, place.configuration?.revision ?? 0, place.quarantine?.revision ?? 0) > this.revision;
 	}
 
@@ -131,7 +131,7 @@
 			}
 
 			case FleetCommandKind.Report: {
-				return this.touch(this.mayTake(command.report) && this.endpoints.report(command.report, index), index);
+				return this.touch(this.acceptsReport(command.report) && this.endpoints.report(command.report, index), index);
 			}
 
 			case FleetCommandKind.Leave: {
--- a/packages/mastvalve-fleet/src/state/fleet-update.ts
+++ b/packages/mastvalve-fleet/src/state/fleet-update.ts
@@ -4,17 +4,17 @@
 
 import type {ConfigurationChange} from '../configuration/configuration-change.js';
 import type {QuarantineChange} from '../quarantine/quarantine-change.js';
-import type {FeedCursor, FeedPart} from './change-feed.js';
+import type {FeedCursor, FeedPage} from './change-feed.js';
 import type {FleetEndpoint} from './fleet-endpoint.js';
 
 /** How far a follower has read; nothing of what it hasn't begun. */
-export type FleetPlace = {endpoints?: FeedCursor; configuration?: FeedCursor; quarantine?: FeedCursor};
+export type FleetCursor = {endpoints?: FeedCursor; configuration?: FeedCursor; quarantine?: FeedCursor};
 
 /** The changes behind a follower's place, or the first part of them. None waits for the others. */
 export type FleetUpdate = {
 	/** Revision of the state that this part was taken from. */
 	revision: number;
-	endpoints: FeedPart<FleetEndpoint>;
-	configuration: FeedPart<ConfigurationChange>;
-	quarantine: FeedPart<QuarantineChange>;
+	endpoints: FeedPage<FleetEndpoint>;
+	configuration: FeedPage<ConfigurationChange>;
+	quarantine: FeedPage<QuarantineChange>;
 };
--- a/packages/mastvalve-gateway/src/fleet/active-configuration.ts
+++ b/packages/mastvalve-gateway/src/fleet/active-configuration.ts
@@ -9,7 +9,7 @@
 	rankPriorities, WorkspaceTable, type PriorityRank, type Workspace,
 } from 'mastvalve-access';
 import {
-	ConfigurationChangeKind, keyOfRoute, keyOfWorkspace, RouteTable, type ConfigurationChange, type ConfigurationFrame, type FeedPart, type Route,
+	ConfigurationChangeKind, keyOfRoute, keyOfWorkspace, RouteTable, type ConfigurationChange, type ConfigurationFrame, type FeedPage, type Route,
 } from 'mastvalve-fleet';
 
 /** A configuration in force; never changes. */
@@ -36,7 +36,7 @@
 	private frame = emptyFrame;
 
 	/** Takes changes in; the result is the newest version that they complete, if any. */
-	take({isWhole, changes}: FeedPart<ConfigurationChange>): ActiveConfiguration | undefined {
+	take({isWhole, changes}: FeedPage<ConfigurationChange>): ActiveConfiguration | undefined {
 		if (isWhole) {
 			this.routes.clear();
 			this.workspaces.clear();
--- a/packages/mastvalve-gateway/src/fleet/fleet-view.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-view.ts
@@ -3,7 +3,7 @@
  */
 
 import {
-	EndpointPhase, takesRequests, type FleetEndpoint, type FleetPlace, type FleetUpdate,
+	EndpointPhase, takesRequests, type FleetEndpoint, type FleetCursor, type FleetUpdate,
 } from 'mastvalve-fleet';
 import {ConfigurationDraft, type ActiveConfiguration} from './active-configuration.js';
 
@@ -25,7 +25,7 @@
 	/** Whether the view was the newest at some moment since the start. */
 	isSynced = false;
 	/** How far the changes are known. */
-	place: FleetPlace = {};
+	place: FleetCursor = {};
 	/** Whether all endpoints of some moment are known, and not just the first part of them. */
 	hasAllEndpoints = false;
 	private readonly draft = new ConfigurationDraft();
--- a/packages/mastvalve-proofs/__tests__/incarnations.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/incarnations.proofs.ts
@@ -81,7 +81,7 @@
 	private report(): void {
 		this.sequence += 1;
 		this.onTheWay.push({
-			id: formatIncarnation({name: 'e', bornAt: this.tellsBirth ? this.bornAt : undefined}),
+			id: formatIncarnation({name: 'e', startedAt: this.tellsBirth ? this.bornAt : undefined}),
 			sequence: this.sequence,
 			service: 's',
 			address: '10.0.0.1:80',
