--- a/packages/mastvalve-limits/__tests__/__fixtures__/overloaded-endpoint.ts
+++ b/packages/mastvalve-limits/__tests__/__fixtures__/overloaded-endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * One endpoint with few slots that refuses what is too much, and entries that share it, in virtual time.
+ * Simulates, in virtual time, an endpoint with few slots that refuses excess requests, and the entries that share it.
  */
 
 import {createRandom, type Random} from 'mastvalve-utils';
@@ -8,17 +8,16 @@
 
 const slots = 8;
 const meanRunMs = 300;
-const wayMs = 2;
+const networkDelayMs = 2;
 const backoffMs = 3000;
-/** Requests that were on their way when the endpoint answered are not counted, ms. */
-const noticeMs = 500;
+/** Requests in flight when the endpoint refused are not counted as violations. */
+const inFlightToleranceMs = 500;
 const msPerSecond = 1000;
 
-/** What an entry keeps of the endpoint. */
 type BackoffState = Pick<EndpointBackoff, 'checkAdmission' | 'recordRefusal' | 'beginRequest'>;
 
-/** Returns with all its requests as soon as the backoff is over. */
-export class ReturnAtOnce implements BackoffState {
+/** Sends all requests again as soon as the backoff ends. */
+export class ImmediateRetry implements BackoffState {
 	private until = Number.NEGATIVE_INFINITY;
 
 	checkAdmission(now: number): ReturnType<EndpointBackoff['checkAdmission']> {
@@ -34,13 +33,12 @@
 	}
 }
 
-/** The endpoint and its entries. */
 export class OverloadedEndpoint {
-	/** When requests came that were taken, and all that came. */
-	readonly taken: number[] = [];
-	readonly came: number[] = [];
+	/** Arrival times of accepted requests and of all requests. */
+	readonly accepted: number[] = [];
+	readonly arrived: number[] = [];
 	readonly refusals: number[] = [];
-	/** Requests that came in the time for which their entry had been asked to back off. */
+	/** Requests that arrived during the backoff of their entry. */
 	violations = 0;
 	readonly time = new VirtualTime();
 	private running = 0;
@@ -52,14 +50,14 @@
 		this.entries = Array.from({length: entries}, () => ({state: createState(), refusedAt: []}));
 	}
 
-	/** Lets requests come at random moments, as a multiple of what the endpoint takes. */
+	/** Sends requests at random times, at a multiple of the endpoint's throughput. */
 	async load(factor: number, ms: number): Promise<void> {
-		const meanPauseMs = meanRunMs / slots / factor;
+		const meanIntervalMs = meanRunMs / slots / factor;
 		const end = this.time.clock.now() + ms;
 		const arrive = async (): Promise<void> => {
 			while (this.time.clock.now() < end) {
 				// eslint-disable-next-line no-await-in-loop
-				await this.time.wait(-Math.log(1 - this.random()) * meanPauseMs);
+				await this.time.wait(-Math.log(1 - this.random()) * meanIntervalMs);
 				void this.serve(this.entries[Math.floor(this.random() * this.entries.length)]!);
 			}
 		};
@@ -71,31 +69,31 @@
 	private async serve(entry: {state: BackoffState; refusedAt: number[]}): Promise<void> {
 		const {time, random} = this;
 		const {state, refusedAt} = entry;
-		this.came.push(time.clock.now());
+		this.arrived.push(time.clock.now());
 		if (state.checkAdmission(time.clock.now()).kind !== AdmissionKind.Now) {
 			return;
 		}
 
 		const use = state.beginRequest();
-		await time.wait(wayMs);
+		await time.wait(networkDelayMs);
 		const now = time.clock.now();
-		this.violations += refusedAt.some(at => now > at + noticeMs && now < at + backoffMs) ? 1 : 0;
-		const isOut = now >= this.outage.from * msPerSecond && now < this.outage.to * msPerSecond;
-		if (isOut || this.running >= slots) {
+		this.violations += refusedAt.some(at => now > at + inFlightToleranceMs && now < at + backoffMs) ? 1 : 0;
+		const isOutage = now >= this.outage.from * msPerSecond && now < this.outage.to * msPerSecond;
+		if (isOutage || this.running >= slots) {
 			this.refusals.push(now);
 			refusedAt.push(now);
-			await time.wait(wayMs);
+			await time.wait(networkDelayMs);
 			state.recordRefusal(time.clock.now(), backoffMs, random());
 			use.recordAnswer(false);
 			use.finish();
 			return;
 		}
 
-		this.taken.push(now);
+		this.accepted.push(now);
 		this.running += 1;
 		await time.wait(meanRunMs * (0.5 + random()));
 		this.running -= 1;
-		await time.wait(wayMs);
+		await time.wait(networkDelayMs);
 		use.recordAnswer(true);
 		use.finish();
 	}
--- a/packages/mastvalve-limits/__tests__/overloaded-endpoint.feature
+++ b/packages/mastvalve-limits/__tests__/overloaded-endpoint.feature
@@ -1,11 +1,11 @@
-Feature: Endpoints that refuse what is too much for them, and ask for backoff
+Feature: Endpoints that refuse excess requests and request backoff
 
-  # Entries that stay away for the whole backoff and then return with all their requests leave the endpoint idle most of the time.
-  Scenario Outline: Few entries (<entries>) with <load> times what the endpoint takes use it better than by returning at once
+  # Entries that wait for the whole backoff and then retry all requests at once leave the endpoint idle most of the time.
+  Scenario Outline: Few entries (<entries>) at <load> times the throughput of the endpoint use it better than with immediate retries
     Given <entries> entries that share an endpoint with 8 slots, in virtual time
-    When <load> times as much comes as it takes, for 60 s
-    Then no request came in the time that its entry was asked to back off
-    And at least <factor> times as many were served as by entries that return with all their requests
+    When <load> times its throughput is offered for 60 s
+    Then no request arrives during the backoff of its entry
+    And at least <factor> times as many requests are served as with entries that retry all requests at once
 
     Examples:
       | entries | load | factor |
@@ -15,12 +15,12 @@
       | 5       | 1.2  | 1      |
       | 5       | 2    | 1      |
 
-  # With many entries the others use what one leaves; the slow return may cost them no more than a twentieth.
-  Scenario Outline: Many entries (<entries>) with <load> times what the endpoint takes use it as well as by returning at once
+  # With many entries the others use the capacity that one leaves; slow start may cost at most a twentieth of the throughput.
+  Scenario Outline: Many entries (<entries>) at <load> times the throughput of the endpoint use it as well as with immediate retries
     Given <entries> entries that share an endpoint with 8 slots, in virtual time
-    When <load> times as much comes as it takes, for 60 s
-    Then no request came in the time that its entry was asked to back off
-    And at least 0.95 times as many were served as by entries that return with all their requests
+    When <load> times its throughput is offered for 60 s
+    Then no request arrives during the backoff of its entry
+    And at least 0.95 times as many requests are served as with entries that retry all requests at once
 
     Examples:
       | entries | load |
@@ -28,12 +28,12 @@
       | 31      | 2    |
       | 300     | 2    |
 
-  Scenario Outline: After an outage <entries> entries return to an endpoint one request at a time, and soon with all
+  Scenario Outline: After an outage <entries> entries resume with one request each, and soon send all requests
     Given <entries> entries that share an endpoint with 8 slots, in virtual time
-    When it refuses everything from 5 s to 14 s, and 0.25 times as much comes as it takes, for 24 s
-    Then no request came in the time that its entry was asked to back off
-    And the most refusals within 100 ms after 8 s are <entries>
-    And at least 0.9 of what came in the last 5 s was served
+    When it refuses everything from 5 s to 14 s, and 0.25 times its throughput is offered for 24 s
+    Then no request arrives during the backoff of its entry
+    And the most refusals within any 100 ms after 8 s are <entries>
+    And at least 0.9 of the requests of the last 5 s are served
 
     Examples:
       | entries |
@@ -41,15 +41,15 @@
       | 5       |
       | 31      |
 
-  Scenario: A backoff is as long as the longest that was asked for
-    Given an endpoint that asked for 3000 ms of backoff at 0 ms
-    When it asks for 500 ms of backoff at 100 ms
-    Then nothing may be sent at 2900 ms
+  Scenario: The longest requested backoff applies
+    Given an endpoint that requested 3000 ms of backoff at 0 ms
+    When it requests 500 ms of backoff at 100 ms
+    Then no request may be sent at 2900 ms
     And a request may be sent at 3400 ms
 
-  Scenario Outline: Retry-After "<value>" asks for <meaning>
-    When an answer of "Thu, 03 Dec 2026 09:00:00 GMT" has Retry-After "<value>"
-    Then it asks for "<meaning>"
+  Scenario Outline: Retry-After "<value>" requests <meaning>
+    When a response with Date "Thu, 03 Dec 2026 09:00:00 GMT" has Retry-After "<value>"
+    Then it requests "<meaning>"
 
     Examples:
       | value                         | meaning    |
--- a/packages/mastvalve-limits/src/admission.ts
+++ b/packages/mastvalve-limits/src/admission.ts
@@ -1,15 +1,14 @@
 /**
- * Whether something may be sent to an endpoint, and when.
+ * Decides whether and when a request may be sent to an endpoint.
  */
 
-/** The kinds of answers. */
 export enum AdmissionKind {
 	Now = 'now',
-	/** Not before a moment. */
+	/** Not before a given time. */
 	At = 'at',
-	/** As soon as a request in progress there is answered. */
+	/** Once a request in flight to the endpoint has been answered. */
 	AfterAnswer = 'after-answer',
 }
 
-/** The answer; monotonic ms. */
+/** `at` is a monotonic time, ms. */
 export type Admission = {kind: AdmissionKind.Now} | {kind: AdmissionKind.AfterAnswer} | {kind: AdmissionKind.At; at: number};
--- a/packages/mastvalve-limits/src/disconnected-rates.ts
+++ b/packages/mastvalve-limits/src/disconnected-rates.ts
@@ -1,7 +1,7 @@
 /**
- * How an entry goes on while nobody answers for the limits of endpoints: with its part of each limit, as one of the entries that
- * control has counted. Parts begin at random points of their time, so that entries that were disconnected at the same moment don't
- * all send their first request at once.
+ * Endpoint limits of an entry while it is disconnected from the leader: an equal share of each limit among the entries that control has
+ * counted. Buckets start with a random fill, so that entries that are disconnected at the same moment don't all send their first request
+ * at once.
  */
 
 import {minBy} from 'mastvalve-utils';
@@ -9,24 +9,23 @@
 import {minPerSecond} from './limit-header.js';
 import {TokenBucket} from './token-bucket.js';
 
-/** When to look again at an endpoint of whose limit no part is known, ms: leaders are elected within 1.5 s. */
+/** Retry interval while the share of this entry is unknown: leaders are elected within 1.5 s. */
 const unknownShareRetryMs = 1000;
 
-/** What it is made from. */
 export type DisconnectedRatesOptions = {
-	/** Numbers in [0, 1). */
+	/** Returns a number in [0, 1). */
 	random: () => number;
-	/** How many entries share the limits; undefined when control has told none. */
+	/** Returns the number of entries that share the limits; undefined if control has not reported it. */
 	readEntryCount: () => number | undefined;
 };
 
-/** The parts of one entry that is disconnected from the leader. Times are monotonic, ms. */
+/** Limit shares of one disconnected entry. Times are monotonic, ms. */
 export class DisconnectedRates {
 	private readonly buckets = new Map<string, TokenBucket>();
 
 	constructor(private readonly options: DisconnectedRatesOptions) {}
 
-	/** Takes a permit at the first endpoint that has one. `perSecond` tells the limit of each. */
+	/** Takes a permit at the first endpoint that has one available. `perSecond` holds the limits by endpoint. */
 	claim(endpoints: readonly string[], perSecond: ReadonlyMap<string, number>, now: number): PermitResult {
 		const offers = endpoints.map(endpoint => ({endpoint, waitMs: this.computeWaitMs(endpoint, perSecond.get(endpoint) ?? minPerSecond, now)}));
 		const best = minBy(offers, ({waitMs}) => waitMs);
@@ -38,7 +37,7 @@
 		return {endpoint: best.endpoint, waitMs: 0, reservation: undefined};
 	}
 
-	/** Somebody answers again. */
+	/** Discards the shares after the entry has reconnected. */
 	reset(): void {
 		this.buckets.clear();
 	}
--- a/packages/mastvalve-limits/src/endpoint-backoff.ts
+++ b/packages/mastvalve-limits/src/endpoint-backoff.ts
@@ -1,59 +1,59 @@
 /**
- * What one entry may send to an endpoint that has refused a request and asked for backoff: nothing until the backoff is over, then a
- * single request, and twice as many at a time with each round that it takes (slow start).
+ * Limits what one entry sends to an endpoint that has refused a request and asked for backoff: nothing until the backoff ends, then a
+ * single request, and twice as many at a time with each accepted round (slow start).
  *
- * The load pattern that it answers besides an outage: an endpoint that gets a little more than it takes. Each refusal there costs the
- * entry a whole backoff, so an endpoint that refuses again after it took requests is kept below the number of requests in progress at
- * which it did, and that number is raised seldom.
+ * Besides outages, this covers an endpoint under slight overload. Each refusal there costs the entry a whole backoff, so an endpoint that
+ * refuses again after having accepted requests is kept below the number of requests in flight at that refusal, and this ceiling is raised
+ * infrequently.
  *
- * A backoff is never shortened: each refusal counts from its own moment, whatever a later one says. It holds for one incarnation of
- * the endpoint. Plain state: no clock.
+ * A backoff is never shortened: each refusal applies from its own time, regardless of later ones. The state covers one incarnation of the
+ * endpoint and has no clock.
  */
 
 import {AdmissionKind, type Admission} from './admission.js';
 
-/** Entries that were refused at the same moment return spread over this share of their backoff. */
+/** Jitter: entries that were refused at the same moment retry spread over this share of their backoff. */
 const jitterRatio = 0.1;
-/** Slow start is over once so many requests may be in progress without an answer. */
+/** Slow start ends once this many requests may be unanswered at a time. */
 const maxWindow = 64;
-/** Part of the requests in progress at a refusal that may be in progress afterwards. */
+/** Share of the requests in flight at a refusal that may be in flight afterwards. */
 const ceilingRatio = 0.8;
-/** A raise of the ceiling that goes too far costs a backoff, so raises are this many backoffs apart. */
+/** Interval between raises of the ceiling, in backoffs: a raise that goes too far costs a whole backoff. */
 const raiseIntervalBackoffs = 10;
-/** A raise adds this share, and one request at least. */
+/** Share of the ceiling that a raise adds; at least one request. */
 const raiseRatio = 0.1;
 
-/** A request that was sent to the endpoint. */
+/** Request that was sent to the endpoint. */
 export type TrackedRequest = {
-	/** Its answer has begun; whether the endpoint took the request. The result says whether more may be sent now than before. */
+	/** Records the start of the response and whether the endpoint accepted the request. Returns whether more requests may be sent now. */
 	recordAnswer: (isAccepted: boolean) => boolean;
-	/** It is over; the result says the same. */
+	/** Records the end of the request. Returns whether more requests may be sent now. */
 	finish: () => boolean;
 };
 
-/** The state of one endpoint. Times are monotonic, ms. */
+/** Backoff state of one endpoint. Times are monotonic, ms. */
 export class EndpointBackoff {
 	private backoffUntil = Number.NEGATIVE_INFINITY;
-	/** Requests that may be without an answer at once; undefined for any number. */
+	/** Number of requests that may be unanswered at a time; undefined if unlimited. */
 	private window: number | undefined;
-	/** Requests that may be in progress at once; undefined until a refusal has shown that there is such a number. */
+	/** Number of requests that may be in flight at a time; undefined until a refusal has shown such a bound. */
 	private ceiling: number | undefined;
 	private raiseAt = Number.POSITIVE_INFINITY;
 	private raiseIntervalMs = 0;
 	private unanswered = 0;
 	private inFlight = 0;
-	/** Rises with each refusal, so that requests from before it don't count in the window after it. */
+	/** Incremented with each refusal, so that earlier requests don't count towards the window after it. */
 	private epoch = 0;
-	/** Whether it took a request since the last backoff was over. */
+	/** Whether the endpoint accepted a request since the last backoff ended. */
 	private hasAccepted = false;
 	private hasRecoveredSinceRefusal = false;
 
-	/** Whether the endpoint took requests again after the backoff before this one, so that waiting for the end of this one is likely to pay. */
+	/** Whether the endpoint accepted requests after the previous backoff, so that waiting for the end of this one is likely to succeed. */
 	get isRecoveryLikely(): boolean {
 		return this.hasRecoveredSinceRefusal;
 	}
 
-	/** It has refused a request and asked for `delayMs` without any; `random` is in [0, 1). */
+	/** Records a refusal with a requested backoff of `delayMs`; `random` is in [0, 1). */
 	recordRefusal(now: number, delayMs: number, random: number): void {
 		if (now >= this.backoffUntil) {
 			this.beginBackoff(now, delayMs);
@@ -65,7 +65,7 @@
 		this.epoch += 1;
 	}
 
-	/** Whether a request may be sent. */
+	/** Decides whether a request may be sent. */
 	checkAdmission(now: number): Admission {
 		if (now < this.backoffUntil) {
 			return {kind: AdmissionKind.At, at: this.backoffUntil};
@@ -76,7 +76,7 @@
 		return {kind: isFull ? AdmissionKind.AfterAnswer : AdmissionKind.Now};
 	}
 
-	/** A request is sent. */
+	/** Records that a request is sent. */
 	beginRequest(): TrackedRequest {
 		const {epoch} = this;
 		let isUnanswered = true;
@@ -110,7 +110,7 @@
 		};
 	}
 
-	/** A refusal after the endpoint had taken requests again tells how many in progress are too many; the first one may be of an outage. */
+	/** A refusal after the endpoint has accepted requests again shows how many in flight are too many; the first refusal may be due to an outage. */
 	private beginBackoff(now: number, delayMs: number): void {
 		const others = this.inFlight - 1;
 		if (this.hasAccepted && others > 0) {
--- a/packages/mastvalve-limits/src/endpoint-limits.ts
+++ b/packages/mastvalve-limits/src/endpoint-limits.ts
@@ -1,13 +1,12 @@
 /**
- * What endpoints that have named a limit may still get, counted at one place for all entries.
+ * Enforces the rate limits that endpoints announce, counted at the leader for all entries.
  *
- * The load pattern that it answers: an endpoint in need names a few requests a second, while many entries go on sending it one now
- * and then. A fixed share of the limit is below one request for each of them, so entries that kept to shares would starve the
- * endpoint, and entries that each rounded up would flood it. One count has neither, at the price of a call within the region for
- * requests to such endpoints only.
+ * An overloaded endpoint announces a few requests per second while many entries each send it one occasionally. An equal share of the limit
+ * is below one request per entry, so entries that kept to shares would starve the endpoint, and entries that rounded up would flood it.
+ * A central count avoids both at the cost of one call within the region, for requests to such endpoints only.
  *
- * Answers on different connections pass each other, so an answer ends or raises a limit only if its request was let through
- * after the limit had been heard here.
+ * Responses on different connections can overtake each other, so a response clears or raises a limit only if the permit of its request
+ * was granted after the limit had been received here.
  */
 
 import {minBy} from 'mastvalve-utils';
@@ -18,37 +17,36 @@
 import {TokenBucket} from './token-bucket.js';
 import {ReservationQueue} from './reservation-queue.js';
 
-/** What an endpoint may get before its rate has brought anything, requests: what was on its way when it named the limit is not counted. */
+/** Initially no permits, since requests in flight when the endpoint announced its limit are not counted. */
 const initialPermits = 0;
 
-/** Between the number of a reservation and its endpoint: an identity needs no table that reservations without an end would fill. */
+/** Separates number and endpoint in a reservation id, so that no table of reservations is needed, which abandoned ones would fill. */
 const separator = '@';
 
 type LimitState = {
-	/** Undefined once the limit is over; the account stays until that is recorded. */
+	/** Undefined once the limit is cleared; the state is kept until this is recorded. */
 	perSecond: number | undefined;
-	/** Number of the moment at which the last word was heard; 0 for one that was recorded before this leader. */
+	/** Sequence number of the last report; 0 for a limit that was recorded before this leader's term. */
 	reportedAt: number;
 	bucket: TokenBucket;
 	queue: ReservationQueue;
 };
 
-/** The limit that is recorded for an endpoint; `unknown` for one that has ended. */
+/** Returns the recorded limit of an endpoint; `unknown` if its incarnation has ended. */
 export type ReadRecordedLimit = (endpoint: string) => {perSecond: number | undefined} | 'unknown';
 
-/** The limits of one leader. Times are monotonic, ms. */
+/** Endpoint limits of one leader. Times are monotonic, ms. */
 export class EndpointLimits {
 	private readonly states = new Map<string, LimitState>();
 	private sequence = 0;
 
 	constructor(private readonly term: number, private readonly readRecordedLimit: ReadRecordedLimit) {}
 
-	/** The present moment. */
 	get timestamp(): LimitTimestamp {
 		return {term: this.term, number: this.sequence};
 	}
 
-	/** Hears what an answer said of a limit. */
+	/** Applies the limit header of a response. */
 	recordReport({endpoint, word, grantedAt}: LimitReport, now: number): void {
 		if (word.kind === LimitHeaderKind.Malformed || this.readRecordedLimit(endpoint) === 'unknown') {
 			return;
@@ -71,7 +69,7 @@
 		}
 	}
 
-	/** Takes a permit at the endpoint that has one first, or a reservation there if its turn comes in time. */
+	/** Takes a permit at the endpoint that has the earliest one, or reserves it if it is due within `maxWaitMs`. */
 	claim({endpoints, urgency, maxWaitMs, reservation}: PermitClaim, now: number): PermitResult {
 		const reserved = reservation === undefined ? undefined : this.releaseReservation(reservation);
 		const offers = endpoints.map(endpoint => ({endpoint, waitMs: this.computeWaitMs(endpoint, urgency, endpoint === reserved, now)}));
@@ -89,18 +87,18 @@
 		return {endpoint: undefined, waitMs, reservation: waitMs <= maxWaitMs ? this.reserve(endpoint, urgency, now + waitMs) : undefined};
 	}
 
-	/** Gives a reservation up; the endpoint where it was, if it had not lapsed. */
+	/** Cancels a reservation. Returns its endpoint unless it had expired. */
 	releaseReservation(reservation: string): string | undefined {
 		const endpoint = reservation.slice(reservation.indexOf(separator) + 1);
 		return this.states.get(endpoint)?.queue.remove(reservation) ? endpoint : undefined;
 	}
 
-	/** A request that was let through was not handed over. */
+	/** Returns the permit of a request that was not dispatched. */
 	returnPermit(endpoint: string): void {
 		this.states.get(endpoint)?.bucket.returnPermit();
 	}
 
-	/** Limits that differ from what is recorded. Accounts of endpoints that have ended, or of limits that are over, are dropped. */
+	/** Lists limits that differ from the recorded ones. Drops the state of endpoints that have ended and of cleared limits. */
 	listChanged(): EndpointLimit[] {
 		return [...this.states].flatMap(([endpoint, {perSecond}]) => {
 			const recorded = this.readRecordedLimit(endpoint);
@@ -113,7 +111,7 @@
 		});
 	}
 
-	/** Time until a request may be handed over, ms; `isDue` for one whose reserved turn has come. */
+	/** Returns the time until a request may be dispatched, ms; `isDue` if its reservation is due. */
 	private computeWaitMs(endpoint: string, urgency: number, isDue: boolean, now: number): number {
 		const state = this.findState(endpoint, now);
 		if (state?.perSecond === undefined) {
--- a/packages/mastvalve-limits/src/limit-header.ts
+++ b/packages/mastvalve-limits/src/limit-header.ts
@@ -1,29 +1,28 @@
 /**
- * What the head of an answer says of its endpoint's limit: the requests a second that it takes from all entries together.
+ * Limit header of a response: the requests per second that its endpoint accepts from all entries together.
  */
 
-/** What a head may say. */
 export enum LimitHeaderKind {
-	/** It names no limit. */
+	/** The response has no limit header. */
 	Absent = 'absent',
 	Rate = 'named',
-	/** Something that is no rate; it neither begins, changes nor ends a limit. */
+	/** The value is not a rate; it neither sets, changes nor clears a limit. */
 	Malformed = 'unreadable',
 }
 
-/** The word of one answer. */
+/** Parsed limit header of one response. */
 export type LimitHeader = {kind: LimitHeaderKind.Absent} | {kind: LimitHeaderKind.Malformed} | {kind: LimitHeaderKind.Rate; perSecond: number};
 
 /**
- * The lowest limit that is kept, requests a second. Only its answers tell when an endpoint's limit is over, so one that takes
- * nothing is asked this often all the same.
+ * Lower bound of a limit, requests per second. The end of a limit is only known from responses of the endpoint, so an endpoint that
+ * announces 0 still receives requests at this rate.
  */
 export const minPerSecond = 0.1;
 
-/** A decimal number of at most nine digits on each side; signs, exponents and lists are no rates. */
+/** Decimal number of at most nine digits on each side. Signs, exponents and lists are rejected. */
 const decimalPattern = /^\d{1,9}(?:\.\d{1,9})?$/v;
 
-/** Reads the field's value; undefined when the head has no such field. */
+/** Parses the header's value; `text` is undefined if the response has no such header. */
 export const parseLimitHeader = (text: string | undefined): LimitHeader => {
 	if (text === undefined) {
 		return {kind: LimitHeaderKind.Absent};
--- a/packages/mastvalve-limits/src/permit-claim.ts
+++ b/packages/mastvalve-limits/src/permit-claim.ts
@@ -1,40 +1,40 @@
 /**
- * What entries and the leader tell each other of endpoints that have named a limit.
+ * Messages between entries and the leader about endpoints that have announced a rate limit.
  */
 
 import type {LimitHeader} from './limit-header.js';
 
-/** An entry asks for a permit to hand a request to one of several limited endpoints. */
+/** Claim of an entry for a permit to dispatch a request to one of several limited endpoints. */
 export type PermitClaim = {
-	/** Identities of the endpoints' incarnations, the preferred first. */
+	/** Ids of the endpoints' incarnations in order of preference. */
 	endpoints: string[];
 	/** 0 is the most urgent. */
 	urgency: number;
-	/** How long the request would wait for a permit, ms; 0 for one that goes elsewhere. If its turn comes in that time, it gets a reservation. */
+	/** Longest time that the request waits for a permit, ms; 0 if it is dispatched elsewhere instead. A reservation is made if a permit is due within this time. */
 	maxWaitMs: number;
-	/** The reservation that it holds; this claim takes its place. */
+	/** Reservation that the request holds; this claim replaces it. */
 	reservation: string | undefined;
 };
 
-/** The answer to a claim. A request holds one permit, or one reservation, or nothing. */
+/** Result of a claim: one permit, one reservation or neither. */
 export type PermitResult = {
-	/** Where it got a permit. */
+	/** Endpoint of the permit. */
 	endpoint: string | undefined;
-	/** Time until its turn, or until the first permit if it got no reservation, ms; 0 with a permit. */
+	/** Time until the reservation is due, or until the first permit if there is no reservation, ms; 0 with a permit. */
 	waitMs: number;
 	reservation: string | undefined;
 };
 
-/** A moment in the account of one leader. Moments of different terms can't be compared. */
+/** Logical timestamp in the limits of one leader. Timestamps of different terms can't be compared. */
 export type LimitTimestamp = {term: number; number: number};
 
-/** The word of one answer. */
+/** Limit header of one response. */
 export type LimitReport = {
 	endpoint: string;
 	word: LimitHeader;
-	/** When the request that it answers was let through; undefined for one that nobody was asked about. */
+	/** When the permit of the answered request was granted; undefined for a request without a permit. */
 	grantedAt: LimitTimestamp | undefined;
 };
 
-/** The limit of an endpoint; undefined for one that takes as many as its slots allow. */
+/** Limit of an endpoint in requests per second; undefined if only its slots limit it. */
 export type EndpointLimit = {endpoint: string; perSecond: number | undefined};
--- a/packages/mastvalve-limits/src/retry-after.ts
+++ b/packages/mastvalve-limits/src/retry-after.ts
@@ -1,25 +1,24 @@
 /**
- * The `Retry-After` field of an answer (RFC 9110, section 10.2.3): how long its sender asks the client to back off. Fractions of a
- * second are accepted. A date counts from the `Date` field of the same answer, so the clocks of the two sides need not agree.
+ * `Retry-After` field of a response (RFC 9110, section 10.2.3): the backoff that the sender asks for. Fractions of a second are accepted.
+ * A date is relative to the `Date` field of the same response, so the clocks of the two sides need not agree.
  */
 
-/** What an answer says. */
 export enum RetryAfterKind {
-	/** It has no such field. */
+	/** The response has no such field. */
 	Absent = 'absent',
 	Delay = 'delay',
-	/** Neither a delay nor a date with a reference; it asks for nothing. */
+	/** Neither a delay nor a date with a reference; no backoff applies. */
 	Malformed = 'unreadable',
 }
 
-/** The field of one answer; the delay in ms. */
+/** Parsed field of one response. */
 export type RetryAfter = {kind: RetryAfterKind.Absent} | {kind: RetryAfterKind.Malformed} | {kind: RetryAfterKind.Delay; delayMs: number};
 
 const msPerSecond = 1000;
 
-/** A decimal number of at most nine digits on each side, without sign or exponent. */
+/** Decimal number of at most nine digits on each side, without sign or exponent. */
 const decimalPattern = /^\d{1,9}(?:\.\d{1,9})?$/v;
-/** The fixed-length form of an HTTP date. */
+/** HTTP date in its fixed-length form. */
 const httpDatePattern = /^(?:Mon|Tue|Wed|Thu|Fri|Sat|Sun), \d{2} [A-Z][a-z]{2} \d{4} \d{2}:\d{2}:\d{2} GMT$/v;
 
 const parseDelayMs = (text: string, answeredAt: string | undefined): number => {
@@ -31,7 +30,7 @@
 	return httpDatePattern.test(trimmed) ? Math.max(0, Date.parse(trimmed) - Date.parse(answeredAt ?? '')) : Number.NaN;
 };
 
-/** Reads all values of the field; of several that can be read the longest delay counts. `answeredAt` is the value of `Date`. */
+/** Parses all values of the field. The longest of several valid delays applies. `answeredAt` is the value of `Date`. */
 export const parseRetryAfter = (values: readonly string[], answeredAt?: string): RetryAfter => {
 	if (values.length === 0) {
 		return {kind: RetryAfterKind.Absent};
