--- a/packages/mastvalve-access/src/authorize-request.ts
+++ b/packages/mastvalve-access/src/authorize-request.ts
@@ -1,37 +1,35 @@
 /**
- * Who is asking, and whether an entry may believe it. Asked when a request arrives, and again at every hand-over to an
- * endpoint, since seconds may lie between the two.
+ * Identifies the workspace of a request and decides whether its key may be relied on. Checked when a request arrives and again at each
+ * dispatch to an endpoint, since seconds may pass in between.
  */
 
 import {KeyKind, type PresentedKey} from './presented-key.js';
 import type {Workspace} from './workspace.js';
 import type {WorkspaceTable} from './workspace-table.js';
 
-/** The judgement on one request. */
 export enum AccessKind {
-	/** It may go on, in the name of a workspace or of nobody. */
+	/** The request may proceed, for a workspace or anonymously. */
 	Granted = 'granted',
-	/** No workspace holds such a key, or none was presented. */
+	/** No workspace holds the key, or none was presented. */
 	UnknownKey = 'unknown',
-	/** This entry has not heard from control for so long that the key may have been taken away. */
+	/** This entry's keys are stale: the key may have been revoked since they were last confirmed. */
 	StaleKeys = 'unsure',
 }
 
-/** The judgement, with the workspace in whose name the request goes on. */
+/** Decision with the workspace of the request; undefined for an anonymous request. */
 export type AccessDecision = {kind: AccessKind.Granted; workspace: Workspace | undefined} | {kind: AccessKind.UnknownKey | AccessKind.StaleKeys};
 
-/** What the judgement rests on. */
 export type AccessInput = {
 	key: PresentedKey;
-	/** Workspaces in force; undefined where the configuration has none, so that no keys are asked for. */
+	/** Workspaces in force; undefined if the configuration has none, so that no key is required. */
 	workspaces: WorkspaceTable | undefined;
-	/** Whether the route is open to anybody. */
+	/** Whether the route accepts requests without a key. */
 	isAnonymous: boolean;
-	/** Whether this entry may still believe that no key was taken away. */
+	/** Whether this entry may still rely on its keys. */
 	hasFreshKeys: boolean;
 };
 
-/** Judges. An entry that may be out of date refuses known and unknown keys alike: an unknown one may be new. */
+/** Decides on a request. An entry with stale keys refuses known and unknown keys alike, since an unknown one may be new. */
 export const authorizeRequest = ({key, workspaces, isAnonymous, hasFreshKeys}: AccessInput): AccessDecision => {
 	if (!workspaces) {
 		return {kind: AccessKind.Granted, workspace: undefined};
--- a/packages/mastvalve-access/src/confirmed-time.ts
+++ b/packages/mastvalve-access/src/confirmed-time.ts
@@ -1,33 +1,33 @@
 /**
- * Up to which moment something is proved to be known, by the answer to a question. A steady clock may stand still while an
- * instance is suspended, so what was asked up to the moment at which that was noticed proves nothing, whoever noticed it. Plain
- * state: no clock.
+ * Latest time up to which data is confirmed to be current by the response to a request. A monotonic clock may stop while an instance is
+ * suspended, so responses to requests sent before the suspension was detected, by any component, confirm nothing. Plain state without a
+ * clock.
  */
 
-/** The moment. Times are monotonic, ms. */
+/** Times are monotonic, ms. */
 export class ConfirmedTime {
 	private latest = Number.NEGATIVE_INFINITY;
 	private invalidatedUntil = Number.NEGATIVE_INFINITY;
 
-	/** The latest moment; negative infinity without any. */
+	/** Latest confirmed time; negative infinity if there is none. */
 	get latestAt(): number {
 		return this.latest;
 	}
 
-	/** When time may have gone by that was not counted; negative infinity if it never did. */
+	/** When the last suspension was detected; negative infinity if there was none. */
 	get invalidatedAt(): number {
 		return this.invalidatedUntil;
 	}
 
-	/** The answer to a question asked at `askedAt` proves what is known up to `moment`. */
+	/** Records that the response to a request sent at `askedAt` confirms the data up to `confirmedAt`. */
 	record(askedAt: number, confirmedAt: number): void {
-		// Strictly later: the clock may have stood still at that very moment.
+		// Strictly later, since the clock may have stopped at exactly that time.
 		if (askedAt > this.invalidatedUntil) {
 			this.latest = Math.max(this.latest, confirmedAt);
 		}
 	}
 
-	/** Time may have gone by that the steady clock did not count. */
+	/** Discards the confirmation when time may have passed that the monotonic clock did not count. */
 	invalidate(now: number): void {
 		this.latest = Number.NEGATIVE_INFINITY;
 		this.invalidatedUntil = now;
--- a/packages/mastvalve-access/src/grant-history.ts
+++ b/packages/mastvalve-access/src/grant-history.ts
@@ -1,16 +1,16 @@
 /**
- * What an entry was granted lately. A new leader doesn't know what the one before has granted; the entries tell it, so that no
- * window begins anew with a leader.
+ * Recent grants of an entry. A new leader doesn't know what its predecessor granted; the entries report it, so that windows continue
+ * across a change of leader.
  */
 
 import type {PriorGrant} from './limit-ledger.js';
 
-/** Grants are told in steps of this length, ms. */
+/** Grants are reported in steps of this length, ms. */
 const stepMs = 500;
 
 type Grant = {workspace: string; cost: number; at: number};
 
-/** The history of one entry, over the window in which limits are counted. Times are monotonic, ms. */
+/** Grants of one entry within the window of the limits. Times are monotonic, ms. */
 export class GrantHistory {
 	private readonly grants: Grant[] = [];
 	private readonly sums = new Map<string, number>();
@@ -23,19 +23,19 @@
 		this.sums.set(workspace, this.computeSum(workspace, now) + cost);
 	}
 
-	/** What a workspace was granted here within the window. */
+	/** Returns the sum of a workspace's grants at this entry within the window. */
 	computeSum(workspace: string, now: number): number {
 		this.dropExpired(now);
 		return this.sums.get(workspace) ?? 0;
 	}
 
-	/** Sums of all workspaces. */
+	/** Returns the sums by workspace. */
 	listSums(now: number): Map<string, number> {
 		this.dropExpired(now);
 		return new Map(this.sums);
 	}
 
-	/** What a new leader is told: sums by workspace and step, each with the age of its youngest grant. */
+	/** Lists the grants for a new leader: sums by workspace and step, each with the age of its latest grant. */
 	listPriorGrants(now: number): PriorGrant[] {
 		this.dropExpired(now);
 		const steps = new Map<string, PriorGrant>();
--- a/packages/mastvalve-access/src/limit-ledger.ts
+++ b/packages/mastvalve-access/src/limit-ledger.ts
@@ -1,24 +1,24 @@
 /**
- * What all workspaces were granted, at the leader.
+ * Grants of all workspaces, counted at the leader.
  */
 
 import {LimitWindow} from './limit-window.js';
 import type {LimitTolerance} from './limit-tolerance.js';
 import type {Workspace, WorkspaceLimit} from './workspace.js';
 
-/** A cost that an entry wants to take, or gives back when it is negative. */
+/** Cost that an entry claims, or refunds if negative. */
 export type LimitClaim = {workspace: string; cost: number};
 
-/** What an entry was granted by the leader before, and how long ago, ms. */
+/** Amount that an entry was granted by a previous leader, and its age, ms. */
 export type PriorGrant = {workspace: string; amount: number; ageMs: number};
 
-/** The answer to a claim: 0 when it was taken, or the time until it can be taken, ms. */
+/** Result of a claim: 0 if it is granted, otherwise the time until it can be granted, ms. */
 export type LimitWaitMs = number;
 
 type LimitState = {
 	limit: WorkspaceLimit;
 	window: LimitWindow;
-	/** The window of a higher limit that was in force until lately; what it counts may not be granted twice. */
+	/** Window of a higher limit that was in force until recently; its grants must not be granted again. */
 	superseded: {window: LimitWindow; until: number} | undefined;
 };
 
@@ -28,7 +28,7 @@
 const isRaisedLimit = (from: WorkspaceLimit, to: WorkspaceLimit): boolean =>
 	from.unit === to.unit && to.ratePerSecond >= from.ratePerSecond && to.burst >= from.burst;
 
-/** The ledger. */
+/** Times are monotonic, ms. */
 export class LimitLedger {
 	private readonly states = new Map<string, LimitState>();
 	private readonly startedAt: number;
@@ -37,7 +37,7 @@
 		this.startedAt = now;
 	}
 
-	/** Answers a claim of a workspace as it is in force. */
+	/** Applies a claim of a workspace under the limit in force. */
 	applyClaim({limit, name}: Workspace, cost: number, now: number): LimitWaitMs {
 		if (!limit) {
 			return 0;
@@ -62,7 +62,7 @@
 		return waitMs;
 	}
 
-	/** Takes in what an entry was granted by the leader before. */
+	/** Records what an entry was granted by a previous leader. */
 	addPriorGrant({limit, name}: Workspace, {amount, ageMs}: PriorGrant, now: number): void {
 		if (limit) {
 			this.findOrCreateState(name, limit, now).window.addPriorGrant(amount, ageMs, now);
@@ -88,7 +88,7 @@
 		return known;
 	}
 
-	/** What ran under a higher limit doesn't count under a lower one, or nothing could run for a whole window. */
+	/** Grants under a higher limit don't count towards a lower one; otherwise nothing could run for a whole window. */
 	private changeLimit(state: LimitState, limit: WorkspaceLimit, now: number): void {
 		if (isRaisedLimit(state.limit, limit)) {
 			state.window.raiseLimit(limit);
--- a/packages/mastvalve-access/src/limit-tolerance.ts
+++ b/packages/mastvalve-access/src/limit-tolerance.ts
@@ -1,6 +1,6 @@
 /**
- * How far what runs may exceed a limit, as operators set it.
+ * Tolerance by which actual usage may exceed a limit, as set by operators.
  */
 
-/** The tolerance: over any span of `windowMs` a workspace may have run `(rate x window + burst) x (1 + overage) + slack`. */
+/** Over any span of `windowMs` a workspace may use `(rate x window + burst) x (1 + overage) + slack`. */
 export type LimitTolerance = {windowMs: number; overage: number; slack: number};
--- a/packages/mastvalve-access/src/limit-window.ts
+++ b/packages/mastvalve-access/src/limit-window.ts
@@ -1,59 +1,59 @@
 /**
- * What is left to one workspace, counted at one place for all entries over the same sliding window in which operators judge it.
+ * Sliding-window limit of one workspace, counted at the leader for all entries over the same window by which operators assess it.
  *
- * The load pattern that it answers: a workspace sends several times its usual for seconds, through all entries at once, at a
- * few requests a second each. Shares of a limit by entry would be smaller than one request there; a sum that each entry learns
- * late lets all of them take the same rest. One count at the leader has neither, at the price of a call within the region. A
- * bucket that refills at the rate is stricter than the window: it refuses a burst that the window still allows.
+ * A workspace may send several times its usual load for some seconds through all entries, at a few requests per second each. Shares per
+ * entry would be smaller than one request; a sum that entries receive late would let all of them use the same remaining capacity. A central
+ * count avoids both at the cost of one call within the region. A token bucket that refills at the rate is stricter than the window: it
+ * refuses bursts that the window still allows.
  *
- * The tolerance of the limit is spent on what a count can't know: a part is granted, for requests that came together on their
- * way; a part is what a new leader grants before the entries have told what they were granted by the one before; the rest is
- * left to entries that can't reach the leader (`local-limits.ts`).
+ * The tolerance of the limit covers what a central count can't know: a part is granted, for requests that bunched up in transit; a part is
+ * granted by a new leader before the entries have reported their prior grants; the rest is for entries that can't reach the leader
+ * (`disconnected-limits.ts`).
  */
 
 import type {LimitTolerance} from './limit-tolerance.js';
 import type {WorkspaceLimit} from './workspace.js';
 
 const msPerSecond = 1000;
-/** Part of the tolerance that is granted. */
+/** Share of the tolerance that is granted. */
 const grantedToleranceRatio = 0.4;
-/** Part of the tolerance that a new leader grants at once; leaders change at most twice in a window of some seconds. */
+/** Share of the tolerance that a new leader grants immediately; leaders change at most twice in a window of some seconds. */
 const startupToleranceRatio = 0.25;
-/** Time in which entries hear of a new leader and tell it what they were granted before, ms: they ask control every 0.4 s. */
+/** Time within which entries learn of a new leader and report their prior grants, ms: they poll control every 0.4 s. */
 const startupMs = 500;
-/** What was granted is added up in slots of this length, ms; a slot counts until its youngest grant is out of the window. */
+/** Grants are summed in slots of this length, ms; a slot counts until its latest grant has left the window. */
 const slotMs = 50;
 
-/** What was granted in one slot. */
+/** Sum of the grants of one slot. */
 export type GrantedSlot = {slot: number; amount: number};
 
 const computeTolerance = ({ratePerSecond, burst}: WorkspaceLimit, {windowMs, overage, slack}: LimitTolerance): number =>
 	(((ratePerSecond * windowMs / msPerSecond) + burst) * overage) + slack;
 
-/** The window. Times are monotonic, ms. */
+/** Times are monotonic, ms. */
 export class LimitWindow {
 	private readonly slots: GrantedSlot[] = [];
 	private sum = 0;
-	/** Granted since the beginning, by this leader. */
+	/** Amount that this leader has granted. */
 	private grantedSinceStart = 0;
 
 	constructor(private limit: WorkspaceLimit, private readonly tolerance: LimitTolerance, private readonly startedAt: number) {}
 
-	/** Time after which the window allows a cost, ms; 0 when it does now. */
+	/** Returns the time until the window allows a cost, ms; 0 if it does now. */
 	computeWaitMs(cost: number, now: number): number {
 		this.dropExpired(now);
 		return Math.max(this.computeWindowWaitMs(cost, now), this.computeStartupWaitMs(cost, now));
 	}
 
-	/** Takes a cost that the window allows. */
+	/** Records a cost that the window allows. */
 	take(cost: number, now: number): void {
 		this.add(cost, now);
 		this.grantedSinceStart += cost;
 	}
 
 	/**
-	 * What was taken and not used comes back. It is taken off what was granted first: off anything later, it would be missing there
-	 * when its own slot has left the window.
+	 * Returns an unused cost. It is deducted from the earliest grants: deducted from a later slot, it would still reduce that slot's sum after
+	 * its own slot has left the window.
 	 */
 	refund(amount: number): void {
 		this.slots.reduce((left, slot) => {
@@ -65,12 +65,12 @@
 		this.grantedSinceStart = Math.max(0, this.grantedSinceStart - amount);
 	}
 
-	/** Another leader granted this so long ago, ms. */
+	/** Records what another leader granted `ageMs` ago. */
 	addPriorGrant(amount: number, ageMs: number, now: number): void {
 		this.add(amount, now - ageMs);
 	}
 
-	/** A higher limit holds for what was granted before, too. */
+	/** Raises the limit; prior grants count towards the higher limit. */
 	raiseLimit(limit: WorkspaceLimit): void {
 		this.limit = limit;
 	}
@@ -81,7 +81,7 @@
 	}
 
 	private computeWindowWaitMs(cost: number, now: number): number {
-		// A request larger than all that a window may hold passes when the window is empty, or it would never pass.
+		// A request larger than the capacity of the window passes when the window is empty; otherwise it would never pass.
 		let surplus = this.sum + Math.min(cost, this.capacity) - this.capacity;
 		if (surplus <= 0) {
 			return 0;
@@ -94,7 +94,7 @@
 		return freeing === undefined ? this.tolerance.windowMs : Math.max(1, this.findExpiry(freeing) - now);
 	}
 
-	/** Until the entries have told, no more than a part of the tolerance. */
+	/** Until the entries have reported their prior grants, only a share of the tolerance is granted. */
 	private computeStartupWaitMs(cost: number, now: number): number {
 		const ageMs = now - this.startedAt;
 		if (ageMs >= startupMs) {
--- a/packages/mastvalve-access/src/rank-priorities.ts
+++ b/packages/mastvalve-access/src/rank-priorities.ts
@@ -1,22 +1,22 @@
 /**
- * One urgency for a request from two: that of its workspace goes first, that of its route decides among equals.
+ * Combines the priorities of a request's workspace and route into one: the workspace's priority takes precedence, the route's breaks ties.
  *
- * Engines know a few steps of urgency only. The pairs that a configuration can bring are ranked, so that as few steps as
- * possible are used, and none is lost while there are no more pairs than steps.
+ * Engines support few priority levels. The pairs that occur in a configuration are ranked, so that as few levels as possible are used, and
+ * all pairs stay distinct unless there are more pairs than levels.
  */
 
-/** Priorities that engines know: 0 to 9. */
+/** Engines support priorities 0 to 9. */
 const lowestEnginePriority = 9;
 
-/** What a configuration gives: priorities of its workspaces and routes; undefined stands for the least urgent. */
+/** Priorities of the workspaces and routes of a configuration; undefined is the least urgent. */
 export type PriorityInput = {workspaces: ReadonlyArray<number | undefined>; routes: readonly number[]};
 
-/** Step of a pair. */
+/** Returns the priority level of a pair. */
 export type PriorityRank = (workspace: number | undefined, route: number) => number;
 
 const sortDistinct = (values: readonly number[]): number[] => [...new Set(values)].toSorted((a, b) => a - b);
 
-/** Ranks all pairs. Without workspaces the routes' own priorities stay as they are. */
+/** Ranks all pairs. Without workspaces the routes' own priorities apply. */
 export const rankPriorities = ({workspaces, routes}: PriorityInput): PriorityRank => {
 	if (workspaces.length === 0) {
 		return (_, route) => Math.min(lowestEnginePriority, Math.max(0, route));
--- a/packages/mastvalve-access/src/request-cost.ts
+++ b/packages/mastvalve-access/src/request-cost.ts
@@ -1,13 +1,13 @@
 /**
- * What a request counts towards its workspace's limit.
+ * Cost of a request towards the limit of its workspace.
  */
 
 import {LimitUnit, type WorkspaceLimit} from './workspace.js';
 
-/** What a request declares before anything of it is run; undefined where it declares nothing. */
+/** Tokens that a request declares before it runs; undefined if it declares none. */
 export type DeclaredTokens = {prompt: number; output: number} | undefined;
 
-/** The cost, in the limit's unit. */
+/** Returns the cost in the unit of the limit. */
 export const computeRequestCost = ({unit, plainTokens}: WorkspaceLimit, declared: DeclaredTokens): number => {
 	if (unit === LimitUnit.Requests) {
 		return 1;
--- a/packages/mastvalve-access/src/workspace-table.ts
+++ b/packages/mastvalve-access/src/workspace-table.ts
@@ -1,10 +1,10 @@
 /**
- * Which workspace holds a key. A look-up costs the same for one key and for a hundred thousand.
+ * Index of workspaces by key. A look-up takes constant time, for one key as for a hundred thousand.
  */
 
 import type {Workspace} from './workspace.js';
 
-/** The workspaces of one configuration; never changes. */
+/** Immutable index of the workspaces of one configuration. */
 export class WorkspaceTable {
 	private readonly byDigest: ReadonlyMap<string, Workspace>;
 	private readonly byName: ReadonlyMap<string, Workspace>;
@@ -15,7 +15,7 @@
 		this.byDigest = new Map(all.flatMap(workspace => workspace.keyDigests.map((digest): [string, Workspace] => [digest, workspace])));
 	}
 
-	/** The workspace that holds a key. */
+	/** Finds the workspace that holds the key with a digest. */
 	findByKey(digest: string): Workspace | undefined {
 		return this.byDigest.get(digest);
 	}
--- a/packages/mastvalve-access/src/workspace.ts
+++ b/packages/mastvalve-access/src/workspace.ts
@@ -1,32 +1,32 @@
 /**
- * A workspace: a group of callers that share keys, a priority and a limit.
+ * Workspaces: groups of callers that share keys, a priority and a limit.
  */
 
-/** What a limit counts. */
+/** Unit of a limit. */
 export enum LimitUnit {
 	/** Each request counts 1. */
 	Requests = 'requests',
-	/** A request counts the tokens of its prompt and the most that it may output. */
+	/** A request counts the tokens of its prompt plus its maximum output. */
 	Tokens = 'tokens',
 }
 
-/** How much a workspace may ask for, over all entries together. */
+/** Limit of a workspace over all entries. */
 export type WorkspaceLimit = {
 	unit: LimitUnit;
-	/** Units a second. */
+	/** Units per second. */
 	ratePerSecond: number;
-	/** Units above the rate that may come at once. */
+	/** Units above the rate that may be used at once. */
 	burst: number;
-	/** What a request counts that tells no tokens, where tokens are counted. */
+	/** Cost of a request that declares no tokens, if the unit is tokens. */
 	plainTokens: number;
 };
 
-/** One workspace. Its keys are known by their digests only. */
+/** Keys are represented by their digests only. */
 export type Workspace = {
 	name: string;
 	keyDigests: string[];
-	/** 0 is the most urgent; undefined when operators gave none. */
+	/** 0 is the most urgent; undefined if not configured. */
 	priority: number | undefined;
-	/** Undefined when it may ask without a limit. */
+	/** Undefined if the workspace is unlimited. */
 	limit: WorkspaceLimit | undefined;
 };
