--- a/packages/mastvalve-access/__tests__/access.steps.ts
+++ b/packages/mastvalve-access/__tests__/access.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of keys, priorities and limits: the policy by itself, in virtual time.
+ * Steps for keys, priorities and limits: the policy alone, in virtual time.
  */
 
 import {strict as assert} from 'node:assert';
@@ -11,7 +11,7 @@
 	computeRequestCost, KeyFreshness, GrantHistory, LimitLedger, LimitUnit, LimitWindow, DisconnectedLimits, rankPriorities, type LimitTolerance, type Workspace, type WorkspaceLimit,
 } from '../src/index.js';
 
-type AccessWorld = World & {evidence: KeyFreshness; window: LimitWindow};
+type AccessWorld = World & {freshness: KeyFreshness; window: LimitWindow};
 
 const tolerance: LimitTolerance = {windowMs: 8000, overage: 0.1, slack: 17_000};
 const requestTokens = 2400;
@@ -25,46 +25,45 @@
 	name: 'w', keyDigests: [], priority: 0, limit,
 });
 
-const allowedIn = ({ratePerSecond, burst}: WorkspaceLimit, {windowMs, overage, slack}: LimitTolerance): number =>
+const computeAllowed = ({ratePerSecond, burst}: WorkspaceLimit, {windowMs, overage, slack}: LimitTolerance): number =>
 	(((ratePerSecond * windowMs / 1000) + burst) * (1 + overage)) + slack;
 
 type Granted = {at: number; cost: number};
 
-/** The most that was granted in any window. */
-const mostInWindow = (granted: readonly Granted[], windowMs: number): number =>
+const findMaxInWindow = (granted: readonly Granted[], windowMs: number): number =>
 	Math.max(0, ...granted.map(({at}) => granted.filter(other => other.at >= at && other.at < at + windowMs).reduce((sum, {cost}) => sum + cost, 0)));
 
-Given('a bound of {int} ms on keys that were taken away', function (this: AccessWorld, boundMs: number) {
-	this.evidence = new KeyFreshness(boundMs);
+Given('a bound of {int} ms on revoked keys', function (this: AccessWorld, boundMs: number) {
+	this.freshness = new KeyFreshness(boundMs);
 });
 
-Given('no bound on keys that were taken away', function (this: AccessWorld) {
-	this.evidence = new KeyFreshness(undefined);
+Given('no bound on revoked keys', function (this: AccessWorld) {
+	this.freshness = new KeyFreshness(undefined);
 });
 
-When('control was sure {int} ms before the question at {int} ms was answered', function (this: AccessWorld, beforeMs: number, askedAt: number) {
-	this.evidence.recordAnswer(askedAt, -beforeMs);
+When('control confirms a time {int} ms before the request of {int} ms', function (this: AccessWorld, beforeMs: number, askedAt: number) {
+	this.freshness.recordAnswer(askedAt, -beforeMs);
 });
 
-When('the entry was suspended at {int} ms', function (this: AccessWorld, at: number) {
-	this.evidence.invalidate(at);
+When('the entry is suspended at {int} ms', function (this: AccessWorld, at: number) {
+	this.freshness.invalidate(at);
 });
 
-When('control answers the question of {int} ms', function (this: AccessWorld, askedAt: number) {
-	this.evidence.recordAnswer(askedAt, 0);
+When('control responds to the request of {int} ms', function (this: AccessWorld, askedAt: number) {
+	this.freshness.recordAnswer(askedAt, 0);
 });
 
-Then('keys are believed at {int} ms, and not at {int} ms', function (this: AccessWorld, last: number, first: number) {
-	assert.equal(this.evidence.isFresh(last), true);
-	assert.equal(this.evidence.isFresh(first), false);
+Then('keys are fresh at {int} ms, and stale at {int} ms', function (this: AccessWorld, last: number, first: number) {
+	assert.equal(this.freshness.isFresh(last), true);
+	assert.equal(this.freshness.isFresh(first), false);
 });
 
-Then('keys are believed at {int} ms', function (this: AccessWorld, at: number) {
-	assert.equal(this.evidence.isFresh(at), true);
+Then('keys are fresh at {int} ms', function (this: AccessWorld, at: number) {
+	assert.equal(this.freshness.isFresh(at), true);
 });
 
-Then('keys are not believed at {int} ms', function (this: AccessWorld, at: number) {
-	assert.equal(this.evidence.isFresh(at), false);
+Then('keys are stale at {int} ms', function (this: AccessWorld, at: number) {
+	assert.equal(this.freshness.isFresh(at), false);
 });
 
 Then('workspaces of priorities 0, 1 and 2 with routes of priorities 0, 1 and 2 are ranked 0 to 8', () => {
@@ -72,38 +71,38 @@
 	assert.deepEqual([0, 1, 2].flatMap(workspace => [0, 1, 2].map(route => rank(workspace, route))), [0, 1, 2, 3, 4, 5, 6, 7, 8]);
 });
 
-Then('a workspace without a priority comes last', () => {
+Then('a workspace without a priority is the least urgent', () => {
 	const rank = rankPriorities({workspaces: [0, undefined], routes: [0, 3]});
 	assert.deepEqual([rank(0, 3), rank(undefined, 0), rank(undefined, 3)], [1, 2, 3]);
 });
 
-Then('without workspaces the route\'s priority stays', () => {
+Then('without workspaces the route\'s priority applies', () => {
 	const rank = rankPriorities({workspaces: [], routes: [0, 2, 7]});
 	assert.deepEqual([rank(undefined, 0), rank(undefined, 2), rank(undefined, 7)], [0, 2, 7]);
 });
 
-Then('more pairs than steps keep their order', () => {
+Then('more pairs than priority levels keep their order', () => {
 	const rank = rankPriorities({workspaces: [0, 1, 2, 3, 4], routes: [0, 1, 2, 3]});
 	const ranks = [0, 1, 2, 3, 4].flatMap(workspace => [0, 1, 2, 3].map(route => rank(workspace, route)));
 	assert.deepEqual(ranks, ranks.toSorted((a, b) => a - b));
 	assert.deepEqual([ranks[0], ranks.at(-1)], [0, 9]);
 });
 
-Then('a request that declares {word} counts {int} by {word}', (declared: string, cost: number, unit: string) => {
+Then('a request that declares {word} costs {int} by {word}', (declared: string, cost: number, unit: string) => {
 	const [prompt = 0, output = 0] = declared.split(',').map(Number);
 	const limit = {...limitOf(1), unit: unit === 'tokens' ? LimitUnit.Tokens : LimitUnit.Requests};
 	assert.equal(computeRequestCost(limit, declared === 'nothing' ? undefined : {prompt, output}), cost);
 });
 
-Then('over {int} runs of bursts and changes of leader no window of 8 s is granted more than the tolerance allows', (runs: number) => {
+Then('over {int} runs with bursts and changes of leader, no window of 8 s is granted more than the tolerance allows', (runs: number) => {
 	Array.from({length: runs}).forEach((_, seed) => {
 		const random = createRandom(seed + 1);
 		const limit = limitOf(4200 * (1 + Math.floor(random() * 10)));
 		const workspace = workspaceOf(limit);
-		// Demand of 0.3 to 6 times the rate, that changes each second; leaders change twice.
+		// Demand of 0.3 to 6 times the rate, which changes each second; the leader changes twice.
 		const resets = [random() * 30_000, random() * 30_000];
 		const histories = Array.from({length: entries}, () => new GrantHistory(tolerance.windowMs));
-		let leader = {ledger: new LimitLedger(tolerance, 0), heard: new Set<GrantHistory>(), begunAt: 0};
+		let leader = {ledger: new LimitLedger(tolerance, 0), reported: new Set<GrantHistory>(), begunAt: 0};
 		const granted: Granted[] = [];
 		let at = 0;
 		while (at < 30_000) {
@@ -113,15 +112,15 @@
 			at = before + stepMs;
 			const now = at;
 			if (resets.some(reset => reset >= before && reset < now)) {
-				leader = {ledger: new LimitLedger(tolerance, now), heard: new Set(), begunAt: now};
+				leader = {ledger: new LimitLedger(tolerance, now), reported: new Set(), begunAt: now};
 			}
 
-			// Entries hear of a new leader within 0.45 s, and tell it what they had; at the latest with their next claim.
-			const {ledger, heard, begunAt} = leader;
+			// Entries learn of a new leader within 0.45 s and report their prior grants, at the latest with their next claim.
+			const {ledger, reported, begunAt} = leader;
 			const history = histories[Math.floor(random() * entries)]!;
-			const hearing = histories.filter((each, index) => !heard.has(each) && (each === history || now >= begunAt + (450 * index / entries)));
-			hearing.forEach(each => {
-				heard.add(each);
+			const reporting = histories.filter((each, index) => !reported.has(each) && (each === history || now >= begunAt + (450 * index / entries)));
+			reporting.forEach(each => {
+				reported.add(each);
 				each.listPriorGrants(now).forEach(grant => {
 					ledger.addPriorGrant(workspace, grant, now);
 				});
@@ -133,12 +132,12 @@
 			}
 		}
 
-		const most = mostInWindow(granted, tolerance.windowMs);
-		assert.ok(most <= allowedIn(limit, tolerance), `seed ${seed + 1}: ${most} of ${allowedIn(limit, tolerance)} at ${limit.ratePerSecond} a second`);
+		const most = findMaxInWindow(granted, tolerance.windowMs);
+		assert.ok(most <= computeAllowed(limit, tolerance), `seed ${seed + 1}: ${most} of ${computeAllowed(limit, tolerance)} at ${limit.ratePerSecond} a second`);
 	});
 });
 
-Then('a workspace that asks at its rate, in any order of requests, is refused nothing', () => {
+Then('a workspace that sends at its rate, with requests of any size, gets no refusals', () => {
 	Array.from({length: 50}).forEach((_, seed) => {
 		const random = createRandom(seed + 1);
 		const limit = limitOf(12_000);
@@ -152,7 +151,7 @@
 	});
 });
 
-Then('a request of {int} tokens passes an empty window of {int} a second, and the next one waits until that has left it', (cost: number, ratePerSecond: number) => {
+Then('a request of {int} tokens passes an empty window of {int} per second, and the next one waits until it has left the window', (cost: number, ratePerSecond: number) => {
 	const ledger = new LimitLedger(tolerance, 0);
 	const workspace = workspaceOf(limitOf(ratePerSecond));
 	assert.equal(ledger.applyClaim(workspace, cost, 60_000), 0);
@@ -161,7 +160,7 @@
 	assert.equal(ledger.applyClaim(workspace, requestTokens, 60_000 + waitMs), 0);
 });
 
-Then('whoever comes back at the time that it was told is served', () => {
+Then('a request that is retried at the announced time is granted', () => {
 	const ledger = new LimitLedger(tolerance, 0);
 	const workspace = workspaceOf(limitOf(4200));
 	const costs = Array.from({length: 60}, (_, index) => 500 + (index * 100));
@@ -172,42 +171,42 @@
 	}, 0);
 });
 
-Then('a limit that falls to a tenth grants no more than a window of its own from then on', () => {
+Then('a limit that is lowered to a tenth grants at most one window of the new limit from then on', () => {
 	const ledger = new LimitLedger(tolerance, 0);
 	const ask = (limit: WorkspaceLimit, at: number): number => Array.from({length: 400}, () => (ledger.applyClaim(workspaceOf(limit), requestTokens, at) === 0 ? requestTokens : 0)).reduce<number>((sum, cost) => sum + cost, 0);
 	const before = ask(limitOf(42_000), 10_000);
 	const after = ask(limitOf(4200), 10_010);
-	assert.ok(after > 0 || before > allowedIn(limitOf(42_000), tolerance) / 2);
-	assert.ok(after <= allowedIn(limitOf(4200), tolerance), `${after}`);
-	assert.ok(before + after <= allowedIn(limitOf(42_000), tolerance), `${before} and ${after}`);
+	assert.ok(after > 0 || before > computeAllowed(limitOf(42_000), tolerance) / 2);
+	assert.ok(after <= computeAllowed(limitOf(4200), tolerance), `${after}`);
+	assert.ok(before + after <= computeAllowed(limitOf(42_000), tolerance), `${before} and ${after}`);
 });
 
-/** Entries that were granted requests by one ledger for 20 s and are alone for 3 s then; what they granted at `load` times the rate. */
-const disconnect = (seed: number, limit: WorkspaceLimit, load: number): {granted: Granted[]; askedAlone: number; grantedAlone: number} => {
+/** Simulates entries that use one ledger for 16 to 24 s and are then disconnected for 3 s, at `load` times the rate. */
+const simulateDisconnection = (seed: number, limit: WorkspaceLimit, load: number): {granted: Granted[]; askedDisconnected: number; grantedDisconnected: number} => {
 	const random = createRandom(seed);
 	const workspace = workspaceOf(limit);
 	const ledger = new LimitLedger(tolerance, -1000);
-	const lone = Array.from({length: entries}, () => {
+	const simulated = Array.from({length: entries}, () => {
 		const history = new GrantHistory(tolerance.windowMs);
 		return {history, limits: new DisconnectedLimits(history, tolerance.windowMs)};
 	});
 	const granted: Granted[] = [];
-	const aloneAt = 16_000 + (random() * 8000);
-	let [at, askedAlone, grantedAlone, isDisconnected] = [0, 0, 0, false];
-	while (at < aloneAt + 3000) {
+	const disconnectedAt = 16_000 + (random() * 8000);
+	let [at, askedDisconnected, grantedDisconnected, isDisconnected] = [0, 0, 0, false];
+	while (at < disconnectedAt + 3000) {
 		at += requestTokens / (limit.ratePerSecond * load) * 1000 * 2 * random();
 		const now = at;
-		const {history, limits} = lone[Math.floor(random() * entries)]!;
-		if (!isDisconnected && now >= aloneAt) {
+		const {history, limits} = simulated[Math.floor(random() * entries)]!;
+		if (!isDisconnected && now >= disconnectedAt) {
 			isDisconnected = true;
-			lone.forEach(entry => {
+			simulated.forEach(entry => {
 				entry.limits.disconnect(now);
 			});
 		}
 
 		const isGranted = isDisconnected ? limits.mayGrant('w', requestTokens, now) : ledger.applyClaim(workspace, requestTokens, now) === 0;
-		askedAlone += isDisconnected ? 1 : 0;
-		grantedAlone += isDisconnected && isGranted ? 1 : 0;
+		askedDisconnected += isDisconnected ? 1 : 0;
+		grantedDisconnected += isDisconnected && isGranted ? 1 : 0;
 		if (isGranted) {
 			history.record('w', requestTokens, now);
 			granted.push({at: now, cost: requestTokens});
@@ -216,41 +215,41 @@
 		}
 	}
 
-	return {granted, askedAlone, grantedAlone};
+	return {granted, askedDisconnected, grantedDisconnected};
 };
 
-Then('over {int} runs {int} entries that are alone for 3 s grant no more than the tolerance allows', (runs: number, count: number) => {
+Then('over {int} runs, {int} entries that are disconnected for 3 s grant no more than the tolerance allows', (runs: number, count: number) => {
 	assert.equal(count, entries);
 	Array.from({length: runs}).forEach((_, seed) => {
 		const limit = limitOf([4200, 28_000, 138_000][seed % 3]!);
-		const most = mostInWindow(disconnect(seed + 1, limit, 3).granted, tolerance.windowMs);
-		assert.ok(most <= allowedIn(limit, tolerance), `seed ${seed + 1}: ${most} of ${allowedIn(limit, tolerance)} at ${limit.ratePerSecond} a second`);
+		const most = findMaxInWindow(simulateDisconnection(seed + 1, limit, 3).granted, tolerance.windowMs);
+		assert.ok(most <= computeAllowed(limit, tolerance), `seed ${seed + 1}: ${most} of ${computeAllowed(limit, tolerance)} at ${limit.ratePerSecond} a second`);
 	});
 });
 
-Then('a workspace that asks as it did before is served at least half of what it asks', () => {
-	const runs = Array.from({length: 30}, (_, seed) => disconnect(seed + 1, limitOf(28_000), 0.55));
-	const asked = runs.reduce((sum, {askedAlone}) => sum + askedAlone, 0);
-	const served = runs.reduce((sum, {grantedAlone}) => sum + grantedAlone, 0);
+Then('a workspace with unchanged load is granted at least half of its requests', () => {
+	const runs = Array.from({length: 30}, (_, seed) => simulateDisconnection(seed + 1, limitOf(28_000), 0.55));
+	const asked = runs.reduce((sum, {askedDisconnected}) => sum + askedDisconnected, 0);
+	const served = runs.reduce((sum, {grantedDisconnected}) => sum + grantedDisconnected, 0);
 	assert.ok(served >= asked / 2, `${served} of ${asked}`);
 });
 
-/** A window of 8 s that holds 2,000 in all. */
-const small: WorkspaceLimit = {
+/** A window of 8 s with a capacity of 2,000. */
+const smallLimit: WorkspaceLimit = {
 	unit: LimitUnit.Requests, ratePerSecond: 0, burst: 2000, plainTokens: 0,
 };
 
 Given('a window in which 1000 were granted at 0 ms, and 1000 at 4000 ms', function (this: AccessWorld) {
-	this.window = new LimitWindow(small, {windowMs: 8000, overage: 0, slack: 0}, -1000);
+	this.window = new LimitWindow(smallLimit, {windowMs: 8000, overage: 0, slack: 0}, -1000);
 	this.window.take(1000, 0);
 	this.window.take(1000, 4000);
 });
 
-When('1000 are given back at 4100 ms', function (this: AccessWorld) {
+When('1000 are refunded at 4100 ms', function (this: AccessWorld) {
 	this.window.refund(1000);
 });
 
-Then('1000 count at 7900 ms, and at 8100 ms at least 1000 of those of 4000 ms', function (this: AccessWorld) {
+Then('1000 count at 7900 ms, and at least 1000 of those granted at 4000 ms at 8100 ms', function (this: AccessWorld) {
 	assert.equal(this.window.computeWaitMs(1000, 7900), 0);
 	assert.ok(this.window.computeWaitMs(1001, 7900) > 0);
 	assert.ok(this.window.computeWaitMs(1001, 8100) > 0);
