--- a/packages/mastvalve-fleet-control/src/control-node.ts
+++ b/packages/mastvalve-fleet-control/src/control-node.ts
@@ -1,8 +1,8 @@
 /**
- * The control side of an instance. One that has a disk whose loss the operator counts keeps the replicated log and may
- * lead; any other passes calls on, and tells those who look for the log where it is.
+ * The control side of an instance. An instance with a disk whose loss counts towards the tolerated failures stores the
+ * replicated log and may lead; any other instance forwards calls, and returns the addresses of those that store the log.
  *
- * While the disk of an instance can't be opened, the instance passes calls on as well, and tries again.
+ * While the disk of an instance can't be opened, the instance forwards calls as well, and retries.
  */
 
 import {ControlDirectory, type PeerHandler} from 'mastvalve-cluster';
@@ -11,26 +11,24 @@
 import {FleetControl, type FleetControlOptions} from './fleet-control.js';
 import {ForwardedControl} from './forwarded-control.js';
 
-/** What the control side is made from. */
 export type ControlNodeOptions = FleetControlOptions & {
-	/** Whether the loss of this instance counts among those that must be borne; only such a disk may hold the log. */
+	/** Whether the loss of this instance counts towards the tolerated failures; only such an instance may store the log. */
 	isLossCounted: boolean;
-	/** Control instances that are known otherwise, the nearest first. */
+	/** Lists control instances known from other sources, nearest first. */
 	listKnown: () => string[];
-	/** Address of the log's leader, as far as the program knows it. */
+	/** Returns the address of the log's leader, if the program knows it. */
 	readLeader: () => string | undefined;
 };
 
-/** Pause before storage that could not be opened is tried again, ms. */
-const openPauseMs = 250;
+/** Delay before opening the storage is retried, ms. */
+const openRetryMs = 250;
 
-/** The control side. */
 export class ControlNode {
-	/** Calls of other processes of mastvalve; more come when the log is open. */
+	/** Handlers of calls by other mastvalve processes; opening the log adds more. */
 	readonly handlers = new Map<string, PeerHandler>();
 	private readonly forwarded: ForwardedControl;
 	private readonly directory: ControlDirectory | undefined;
-	private readonly ending = new AbortController();
+	private readonly shutdown = new AbortController();
 	private control: FleetControl | undefined;
 
 	constructor(private readonly options: ControlNodeOptions) {
@@ -39,40 +37,40 @@
 		this.addHandlers(this.directory?.handlers() ?? []);
 	}
 
-	/** Whether this instance keeps the replicated log. */
+	/** Whether this instance stores the replicated log. */
 	get hasLog(): boolean {
 		return this.options.dataFolder !== '' && this.options.isLossCounted;
 	}
 
-	/** What answers operators and endpoints at this moment. */
+	/** The service that currently handles calls of operators and endpoints. */
 	get service(): ControlService {
 		return this.control ?? this.forwarded;
 	}
 
-	/** The part that keeps the log, once it is open. */
+	/** The part that stores the log; undefined until it is open. */
 	get fleetControl(): FleetControl | undefined {
 		return this.control;
 	}
 
 	/**
-	 * Where callers with something large are to go instead: to an instance that keeps the log, since this one would carry it
-	 * twice over a link that callers' requests need. Large configurations passed on over slow
-	 * links are acknowledged too late. Undefined when this instance keeps the log, or knows none that does.
+	 * Returns the address to which large calls are redirected: an instance that stores the log. Forwarding would send the body
+	 * twice over a link that callers' requests need, and large configurations forwarded over slow links are acknowledged too
+	 * late. Undefined if this instance stores the log, or knows no instance that does.
 	 */
 	findRedirectTarget(): string | undefined {
 		return this.hasLog ? undefined : this.options.readLeader() ?? this.directory?.listKeepers()[0];
 	}
 
-	/** Addresses to ask for the state of the fleet: this instance itself if it keeps the log, then others. */
+	/** Lists the addresses that provide the state of the fleet: this instance first if it stores the log, then others. */
 	listSources(): string[] {
 		const own = this.hasLog ? [this.options.address] : this.directory?.listKeepers() ?? [];
 		return [...own, ...this.options.readSeeds().filter(address => address !== this.options.address)];
 	}
 
-	/** Takes part until it is stopped. */
+	/** Runs until it is stopped. */
 	async run(): Promise<void> {
 		if (this.directory) {
-			await this.directory.run(this.ending.signal);
+			await this.directory.run(this.shutdown.signal);
 			return;
 		}
 
@@ -84,13 +82,13 @@
 		}
 	}
 
-	/** Hands leadership over, so that a planned stop costs no election. */
+	/** Transfers leadership, so that a planned stop causes no election. */
 	async transferLeadership(): Promise<void> {
 		await this.control?.transferLeadership();
 	}
 
 	async stop(): Promise<void> {
-		this.ending.abort();
+		this.shutdown.abort();
 		await this.control?.stop();
 	}
 
@@ -101,14 +99,14 @@
 	}
 
 	private async openLog(): Promise<FleetControl | undefined> {
-		while (!this.ending.signal.aborted) {
+		while (!this.shutdown.signal.aborted) {
 			try {
 				// eslint-disable-next-line no-await-in-loop
 				return await FleetControl.open(this.options);
 			} catch (error) {
-				this.options.onError(`the log can't be opened and is tried again: ${describeError(error)}`);
+				this.options.onError(`can't open the log; retrying: ${describeError(error)}`);
 				// eslint-disable-next-line no-await-in-loop
-				await waitFor(openPauseMs, this.ending.signal);
+				await waitFor(openRetryMs, this.shutdown.signal);
 			}
 		}
 
--- a/packages/mastvalve-fleet-control/src/control-service.ts
+++ b/packages/mastvalve-fleet-control/src/control-service.ts
@@ -1,19 +1,19 @@
 /**
- * What operators and endpoints may ask of any control instance, whether it keeps the log itself or not.
+ * Calls of operators and endpoints that every control instance handles, whether or not it stores the log itself.
  */
 
 import type {EndpointReport, StatedConfiguration} from 'mastvalve-fleet';
 import type {MastvalveError} from 'mastvalve-types';
 import type {Result} from 'neverthrow';
 
-/** The service. What it answers without an error is committed. */
+/** A result without an error is committed. */
 export type ControlService = {
-	/** Puts a configuration in force, unless one at least as new is; the result is the version held. */
+	/** Puts a configuration in force, unless its version is not newer than the current one; returns the version in force. */
 	configure: (stated: StatedConfiguration) => Promise<Result<number, MastvalveError>>;
-	/** The newest configuration; an error when that can't be told for sure. */
+	/** Returns the newest configuration; an error if it can't be confirmed to be the newest. */
 	readConfiguration: () => Promise<Result<StatedConfiguration | undefined, MastvalveError>>;
-	/** Takes a heartbeat of an endpoint. */
+	/** Records a heartbeat of an endpoint. */
 	report: (report: EndpointReport) => Promise<Result<true, MastvalveError>>;
-	/** An endpoint leaves for good. */
+	/** Records that an endpoint leaves permanently. */
 	leave: (id: string) => Promise<Result<true, MastvalveError>>;
 };
--- a/packages/mastvalve-fleet-control/src/demand-report.ts
+++ b/packages/mastvalve-fleet-control/src/demand-report.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry tells control's leader of its callers' demand.
+ * Messages in which an entry reports its callers' demand to the leader.
  */
 
 /** Demand since the last report. */
@@ -8,33 +8,33 @@
 	entry: string;
 	/** Requests by model, or by `model/adapter`. */
 	requests: Record<string, number>;
-	/** Those of them, by model, whose callers have no time for a load. */
+	/** Requests, by model, whose deadline is too short to wait for a load. */
 	urgent: Record<string, number>;
-	/** Time in which an engine without a queue begins an answer, as far as the entry has learned it, by model, ms. */
+	/** Measured time in which an idle engine starts a response, by model, ms; only models that the entry has measured. */
 	headMs: Record<string, number>;
-	/** What requests wait for now. */
+	/** Models and adapters that requests currently wait for. */
 	wanted: PendingDemand[];
-	/** Endpoints that refused a request for a model or adapter which they were thought to hold. */
+	/** Endpoints that refused a request for a model or adapter that they hold according to the record. */
 	suspects: string[];
-	/** Endpoints at whose addresses nobody listened. */
+	/** Endpoints at whose address no process listened. */
 	absent: string[];
-	/** Endpoints whose answers said that they are leaving, until control has recorded it. */
+	/** Endpoints whose responses announced that they are leaving; repeated until control has recorded it. */
 	leaving: string[];
 };
 
-/** What the leader answers. */
+/** Response of the leader. */
 export type DemandResponse = {
-	/** Entries that have reported lately: they share what all of them together may ask for. */
+	/** Number of entries whose last report has not expired; they share the limits that apply to all entries together. */
 	entries: number;
 };
 
-/** A model, or an adapter of one, that requests wait for. */
+/** A model, or an adapter of a model, that requests wait for. */
 export type PendingDemand = {
 	service: string;
 	model: string;
 	adapter?: string;
-	/** Requests that wait for it. */
+	/** Number of waiting requests. */
 	waiting: number;
-	/** Time left to the most pressing one, ms. */
+	/** Time until the earliest deadline among the waiting requests, ms. */
 	remainingMs: number;
 };
--- a/packages/mastvalve-fleet-control/src/engines/change-watch.ts
+++ b/packages/mastvalve-fleet-control/src/engines/change-watch.ts
@@ -1,46 +1,44 @@
 /**
- * Waits until an engine shows that an order is done: by its heartbeats, or when it is asked because they are late.
+ * Waits for the confirmation that an engine has completed an order: from its heartbeats, or from a status query when heartbeats are late.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
 import type {Clock} from 'mastvalve-utils';
 import type {EnginePort} from './engine-port.js';
 
-/** Who has shown that an order is done. */
+/** Source that confirmed the completion of an order. */
 export enum ChangeConfirmation {
 	None = 'no',
-	/** The engine, when it was asked; the record lacks it. */
+	/** The engine's response to a status query; not yet recorded in the log. */
 	Status = 'told',
-	/** A heartbeat, so it is on record. */
+	/** A heartbeat, recorded in the log. */
 	Record = 'recorded',
 }
 
-/** What a watch is made from. */
 export type ChangeWatchOptions = {
 	clock: Clock;
-	/** Waits so many ms. */
+	/** Resolves after the given time, ms. */
 	wait: (ms: number) => Promise<void>;
-	/** The endpoint as the log has it. */
+	/** Returns the endpoint as recorded in the log. */
 	readEndpoint: () => FleetEndpoint | undefined;
 	port: EnginePort;
 };
 
-/** How often the state is looked at while an order is under way, ms. */
+/** Interval at which the recorded state is checked while an order is in progress, ms. */
 const pollMs = 25;
-/** An order under way that no heartbeat has confirmed is looked up this long after it was due, ms. */
+/** The engine is queried if no heartbeat has confirmed an order this long after its expected completion, ms. */
 const overdueMs = 1500;
-/** Longest time for which a change of models is followed, ms. */
+/** Longest time to wait for the completion of a change of models, ms. */
 const maxMoveMs = 40_000;
 
-/** The watch. */
 export class ChangeWatch {
 	constructor(private readonly options: ChangeWatchOptions) {}
 
-	/** Waits until the models that the engine holds are as they should be; `expectedMs` is the time that the order takes. */
+	/** Waits until the models held by the engine satisfy `isReached`; `expectedMs` is the expected duration of the order. */
 	async waitUntil(isReached: (holds: string[]) => boolean, expectedMs: number): Promise<ChangeConfirmation> {
 		const {clock, wait, readEndpoint} = this.options;
 		const startedAt = clock.now();
-		let askAt = startedAt + expectedMs + overdueMs;
+		let queryAt = startedAt + expectedMs + overdueMs;
 		while (clock.now() - startedAt < maxMoveMs) {
 			const endpoint = readEndpoint();
 			if (!endpoint) {
@@ -51,12 +49,12 @@
 				return ChangeConfirmation.Record;
 			}
 
-			if (clock.now() > askAt) {
-				askAt = clock.now() + overdueMs;
+			if (clock.now() > queryAt) {
+				queryAt = clock.now() + overdueMs;
 				// eslint-disable-next-line no-await-in-loop
-				const seen = await this.ask(endpoint, isReached);
-				if (seen !== undefined) {
-					return seen;
+				const confirmation = await this.queryEngine(endpoint, isReached);
+				if (confirmation !== undefined) {
+					return confirmation;
 				}
 			}
 
@@ -67,8 +65,8 @@
 		return ChangeConfirmation.None;
 	}
 
-	/** What the engine says; undefined while it says nothing, or an order is still under way. */
-	private async ask({id, address}: FleetEndpoint, isReached: (holds: string[]) => boolean): Promise<ChangeConfirmation | undefined> {
+	/** Queries the engine; undefined if it does not respond or an order is still in progress. */
+	private async queryEngine({id, address}: FleetEndpoint, isReached: (holds: string[]) => boolean): Promise<ChangeConfirmation | undefined> {
 		const status = await this.options.port.readStatus(id, address);
 		if (!status || status.isBusy) {
 			return undefined;
--- a/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of one engine: which models and adapters it holds, as series of orders with the records before and behind them.
- * What was ordered keeps its memory until the engine's own state shows what came of it.
+ * Changes which models and adapters one engine holds, by sequences of orders with a committed record before and after them.
+ * The memory of an ordered load stays reserved until the engine's own state shows the result.
  */
 
 import {
@@ -14,27 +14,25 @@
 	maxOrderDelayMs, OrderEffect, OrderSequence, type OrderSequenceOptions,
 } from './order-sequence.js';
 
-/** What a desk is made from. */
 export type EngineControllerOptions = OrderSequenceOptions & {
-	/** Records what orders change; whether that was committed. Every order is preceded by a record. */
+	/** Records the holdings that orders change; resolves to whether the record was committed. Every order is preceded by a record. */
 	publish: (holdings: Holdings) => Promise<boolean>;
-	/** What the engine has room for; undefined while no configuration says it. */
+	/** Returns the capacity of the engine; undefined while no configuration declares it. */
 	readSpec: () => EngineSpec | undefined;
-	/** The account of the engine's room; proofs hand in broken ones. */
+	/** Ledger of the engine's capacity; proofs pass faulty ones. */
 	ledger?: EngineLedger;
 };
 
-/** Pause before a state that is not settled is read again, ms. */
-const unsettledPauseMs = 400;
-/** Entries stop sending requests for a model this long after it was published, ms: a commit, a round to followers, and reserve. */
-const retireNoticeMs = 60;
-/** What unloading adds to the time of a move when no run holds it up, ms. */
+/** Delay before an unsettled state is read again, ms. */
+const unsettledRetryMs = 400;
+/** Time after which entries have stopped sending requests for a retiring model, ms: a commit, a round trip to followers and a margin. */
+const retireDelayMs = 60;
+/** Duration that an unload adds to a move if no running request delays it, ms. */
 const unloadMs = 200;
-/** Time in which an adapter arrives: a fixed part, and a part for each MB, with reserve: 12 MB in 5 ms and 66 MB in 14 ms were declared, ms. */
+/** Duration of an adapter load: a fixed part, ms, and a part per MB. Declared durations are 5 ms for 12 MB and 14 ms for 66 MB; the values include a margin. */
 const adapterFixedMs = 5;
 const adapterMsPerMb = 0.3;
 
-/** One desk. */
 export class EngineController {
 	private readonly orders: OrderSequence;
 	private readonly ledger: EngineLedger;
@@ -44,10 +42,10 @@
 	private retiring: string | undefined;
 	private queue: Promise<unknown> = Promise.resolve();
 	private isSyncing = false;
-	/** Whether this desk has recorded anything; before that, what is recorded is of a former holder. */
+	/** Whether this controller has recorded anything; until then, the record stems from a former holder. */
 	private hasRecorded = false;
-	/** Moves that were begun and have not ended. */
-	private moves = 0;
+	/** Number of moves in progress. */
+	private activeMoves = 0;
 
 	constructor(private readonly options: EngineControllerOptions) {
 		this.orders = new OrderSequence(options);
@@ -56,8 +54,8 @@
 	}
 
 	/**
-	 * Whether orders may be planned: the true state was read, no order of somebody else is under way, and the log says the
-	 * same. Otherwise it is read again soon.
+	 * Whether orders may be planned: the engine's state was read, no order of another holder is in progress, and the log
+	 * matches the state. Otherwise requests another read.
 	 */
 	get isReady(): boolean {
 		if ((!this.orders.isCountKnown || this.orders.isStatusDue) && !this.isSyncing) {
@@ -67,7 +65,7 @@
 		return this.orders.isCountKnown;
 	}
 
-	/** What placement needs to know. Until the true state was read, what a former holder has recorded counts as well. */
+	/** Describes the engine for placement. Until its state is read, the record of a former holder counts as well. */
 	describe(endpoint: FleetEndpoint): EngineState {
 		const recorded = this.orders.isCountKnown ? undefined : endpoint;
 		return {
@@ -85,67 +83,67 @@
 		};
 	}
 
-	/** How long a model has been held, ms. */
+	/** Returns how long the engine has held a model, ms; infinite if this controller did not load it. */
 	heldFor(model: string): number {
 		return this.options.clock.now() - (this.heldSince.get(model) ?? Number.NEGATIVE_INFINITY);
 	}
 
-	/** Reads the true state soon, since something did not fit. */
+	/** Requests another read of the engine's state, for example after a report that contradicts the record. */
 	requestSync(): void {
 		this.isSyncing = true;
 		void this.enqueue(async () => this.sync());
 	}
 
-	/** Changes which model the engine holds. Resolves when that is done or has failed; `onBegun` tells when the load can't begin any later. */
+	/** Loads a model, unloading another one first if needed. Resolves when the move is done or has failed; calls `onBegun` once the load can no longer begin later. */
 	async moveModel(move: ModelMove, expectedMs: number, onBegun: () => void = () => undefined): Promise<void> {
 		this.loading = {model: move.load, expectedMs: expectedMs + (move.evict === undefined ? 0 : unloadMs), source: move.source};
 		this.retiring = move.evict;
-		this.moves += 1;
+		this.activeMoves += 1;
 		const isRecorded = await this.publish();
-		const isReady = isRecorded && (move.evict === undefined || await this.unload(move.evict));
+		const isReady = isRecorded && (move.evict === undefined || await this.unloadModel(move.evict));
 		this.retiring = undefined;
-		const effect = isReady ? await this.order({kind: EngineOrderKind.Load, model: move.load, adapter: undefined}) : OrderEffect.None;
-		this.tellBegun(effect, onBegun);
-		if (isTaken(effect)) {
-			const seen = await this.watch.waitUntil(holds => holds.includes(move.load), expectedMs);
-			const isThere = seen !== ChangeConfirmation.None;
-			if (seen === ChangeConfirmation.Record) {
+		const effect = isReady ? await this.enqueueOrder({kind: EngineOrderKind.Load, model: move.load, adapter: undefined}) : OrderEffect.None;
+		this.reportBegun(effect, onBegun);
+		if (isAccepted(effect)) {
+			const confirmation = await this.watch.waitUntil(holds => holds.includes(move.load), expectedMs);
+			const isLoaded = confirmation !== ChangeConfirmation.None;
+			if (confirmation === ChangeConfirmation.Record) {
 				this.ledger.recordLoaded(move.load);
 			}
 
-			this.requireSync(seen);
+			this.resyncUnlessRecorded(confirmation);
 			this.heldSince.set(move.load, this.options.clock.now());
-			this.options.onEvent('engine.changed', `${this.options.id} ${isThere ? 'holds' : 'may not hold'} ${move.load} from ${move.source}`);
+			this.options.onEvent('engine.changed', `${this.options.id} ${isLoaded ? 'holds' : 'may not hold'} ${move.load} from ${move.source}`);
 		}
 
 		this.loading = undefined;
-		this.moves -= 1;
+		this.activeMoves -= 1;
 		await this.publish();
 	}
 
-	/** Changes which adapters the engine holds. */
+	/** Loads an adapter, unloading another one first if needed. */
 	async moveAdapter({model, load, evict}: AdapterMove, sizeMb: number): Promise<void> {
 		const name: AdapterName = {model, adapter: load};
 		this.ledger.beginLoad(name, evict);
-		this.moves += 1;
+		this.activeMoves += 1;
 		const isRecorded = await this.publish();
 		const effect = isRecorded
 			? await this.enqueue(async () => {
-				const hasRoom = !evict || await this.freeSlot(evict);
-				return hasRoom ? this.give({kind: EngineOrderKind.Load, model, adapter: load}) : OrderEffect.None;
+				const hasFreeSlot = !evict || await this.freeAdapterSlot(evict);
+				return hasFreeSlot ? this.sendIfFits({kind: EngineOrderKind.Load, model, adapter: load}) : OrderEffect.None;
 			})
 			: OrderEffect.None;
-		if (isTaken(effect)) {
+		if (isAccepted(effect)) {
 			await this.options.wait(adapterFixedMs + (sizeMb * adapterMsPerMb));
 		}
 
 		this.ledger.endLoad(name);
-		this.moves -= 1;
+		this.activeMoves -= 1;
 		await this.publish();
 	}
 
-	/** Without an answer, the load may begin for as long as its order may be carried out late. */
-	private tellBegun(effect: OrderEffect, onBegun: () => void): void {
+	/** Reports that a load has begun; after an unanswered order only once that order can no longer be executed. */
+	private reportBegun(effect: OrderEffect, onBegun: () => void): void {
 		if (effect === OrderEffect.Unknown) {
 			void this.options.wait(maxOrderDelayMs).then(onBegun);
 		} else {
@@ -153,24 +151,24 @@
 		}
 	}
 
-	/** Unloads an adapter; false while requests still use it, so that its slot is not free yet. */
-	private async freeSlot({model, adapter}: AdapterName): Promise<boolean> {
-		const effect = await this.give({kind: EngineOrderKind.Unload, model, adapter});
+	/** Unloads an adapter; false while requests still use it and its slot is not free. */
+	private async freeAdapterSlot({model, adapter}: AdapterName): Promise<boolean> {
+		const effect = await this.sendIfFits({kind: EngineOrderKind.Unload, model, adapter});
 		if (effect === OrderEffect.Done) {
 			this.ledger.recordAdapterUnloaded({model, adapter}, this.recordedHolds);
 		}
 
-		if (effect === OrderEffect.UnderWay) {
+		if (effect === OrderEffect.InProgress) {
 			this.orders.invalidateCount();
 		}
 
 		return effect === OrderEffect.Done;
 	}
 
-	/** Gives an order if it fits beside all that is or may be in the engine; otherwise its state is read again. */
-	private async give(order: EngineOrder): Promise<OrderEffect> {
+	/** Sends an order if it fits beside everything the engine holds or may hold; otherwise requires its state to be read again. */
+	private async sendIfFits(order: EngineOrder): Promise<OrderEffect> {
 		const spec = this.options.readSpec();
-		if (!spec || this.mayMeetLateOrder(order) || !this.ledger.mayOrder(order, this.recordedHolds, spec)) {
+		if (!spec || this.conflictsWithLateOrder(order) || !this.ledger.mayOrder(order, this.recordedHolds, spec)) {
 			this.options.onEvent('order.withheld', `${order.kind} ${order.model}${order.adapter === undefined ? '' : `/${order.adapter}`} at ${this.options.id}: it may not fit`);
 			this.orders.invalidateCount();
 			return OrderEffect.None;
@@ -185,8 +183,8 @@
 		return effect;
 	}
 
-	/** What an order that may still come late needs is in no status of the engine; once an unload was counted, that order is void. */
-	private mayMeetLateOrder({kind}: EngineOrder): boolean {
+	/** Whether an order may exceed the capacity together with a late one, which no status of the engine shows. An unload is always safe: once the engine counts it, it refuses the late order. */
+	private conflictsWithLateOrder({kind}: EngineOrder): boolean {
 		return kind === EngineOrderKind.Load && this.orders.hasLateOrder;
 	}
 
@@ -194,16 +192,16 @@
 		return this.options.readEndpoint()?.holds ?? [];
 	}
 
-	private async order(order: EngineOrder): Promise<OrderEffect> {
-		return this.enqueue(async () => this.give(order));
+	private async enqueueOrder(order: EngineOrder): Promise<OrderEffect> {
+		return this.enqueue(async () => this.sendIfFits(order));
 	}
 
 	/**
-	 * An order whose end was not seen may still be under way, and one whose end no heartbeat has told is missing in the
-	 * record: its memory is not free until the engine and the record say the same.
+	 * Requires the state to be read again unless the log confirms the order. An unconfirmed order may still be in progress, and
+	 * one confirmed by status only is missing in the record: its memory is not free until engine and record match.
 	 */
-	private requireSync(seen: ChangeConfirmation): void {
-		if (seen !== ChangeConfirmation.Record) {
+	private resyncUnlessRecorded(confirmation: ChangeConfirmation): void {
+		if (confirmation !== ChangeConfirmation.Record) {
 			this.orders.invalidateCount();
 		}
 	}
@@ -211,26 +209,26 @@
 	private async publish(): Promise<boolean> {
 		this.hasRecorded = true;
 		return this.options.publish({
-			id: this.options.id, adapters: this.ledger.knownAdapters, retiring: this.retiring, loading: this.loading, isOrdering: this.moves > 0 || this.orders.hasLateOrder,
+			id: this.options.id, adapters: this.ledger.knownAdapters, retiring: this.retiring, loading: this.loading, isOrdering: this.activeMoves > 0 || this.orders.hasLateOrder,
 		});
 	}
 
-	/** Unloads a model once entries have stopped sending requests for it. */
-	private async unload(model: string): Promise<boolean> {
-		await this.options.wait(retireNoticeMs);
-		const effect = await this.order({kind: EngineOrderKind.Unload, model, adapter: undefined});
-		const seen = isTaken(effect) ? await this.watch.waitUntil(holds => !holds.includes(model), 0) : ChangeConfirmation.None;
-		const isGone = seen !== ChangeConfirmation.None;
-		// While the model is on record, its room does not count as free.
-		this.requireSync(isGone ? ChangeConfirmation.Record : seen);
-		if (isGone) {
+	/** Unloads a model after entries have stopped sending requests for it; resolves to whether it is unloaded. */
+	private async unloadModel(model: string): Promise<boolean> {
+		await this.options.wait(retireDelayMs);
+		const effect = await this.enqueueOrder({kind: EngineOrderKind.Unload, model, adapter: undefined});
+		const confirmation = isAccepted(effect) ? await this.watch.waitUntil(holds => !holds.includes(model), 0) : ChangeConfirmation.None;
+		const isUnloaded = confirmation !== ChangeConfirmation.None;
+		// While the record still lists the model, its memory does not count as free.
+		this.resyncUnlessRecorded(isUnloaded ? ChangeConfirmation.Record : confirmation);
+		if (isUnloaded) {
 			this.ledger.recordUnloaded(model);
 		}
 
 		this.heldSince.delete(model);
 		this.retiring = undefined;
 		await this.publish();
-		return isGone;
+		return isUnloaded;
 	}
 
 	private async enqueue<T>(task: () => Promise<T>): Promise<T> {
@@ -240,43 +238,43 @@
 	}
 
 	/**
-	 * Reads the true state, and publishes what differs. The count of orders stays unknown while an order of a former holder
-	 * is under way, or while the endpoint's heartbeats have not told of its end: its memory is not free.
+	 * Reads the engine's state and publishes what differs. The order count stays unknown while an order of a former holder is in
+	 * progress, or while no heartbeat has confirmed its end: its memory is not free.
 	 */
 	private async sync(): Promise<void> {
 		const status = await this.orders.readStatus();
 		const endpoint = this.options.readEndpoint();
 		if (endpoint && status && isSettled(status, endpoint)) {
-			this.takeOver(endpoint);
+			this.inheritLateOrder(endpoint);
 			this.orders.setCount(status.orderCount);
 			await this.publishDifference(endpoint, status);
 		} else {
 			this.orders.invalidateCount();
-			await this.options.wait(unsettledPauseMs);
+			await this.options.wait(unsettledRetryMs);
 		}
 
 		this.isSyncing = false;
 	}
 
-	/** What a former holder has begun may still be carried out. */
-	private takeOver({isOrdering}: FleetEndpoint): void {
+	/** Expects a late order if a former holder recorded that it was sending orders. */
+	private inheritLateOrder({isOrdering}: FleetEndpoint): void {
 		if (isOrdering && !this.hasRecorded) {
 			this.orders.expectLateOrder();
 		}
 	}
 
-	/** Takes the engine's state as all there is, and publishes what the record lacks: other adapters, or the end of what a former holder had begun. */
+	/** Resets the ledger to the engine's state, and publishes what the record lacks: other adapters, or the end of a former holder's moves. */
 	private async publishDifference({isOrdering, retiring, loading, holds: recorded}: FleetEndpoint, {holds}: EngineStatus): Promise<void> {
-		const isLeftOver = !this.hasRecorded && (isOrdering || retiring !== undefined || loading !== undefined);
+		const hasStaleMove = !this.hasRecorded && (isOrdering || retiring !== undefined || loading !== undefined);
 		const before = this.ledger.listHeldModels(recorded);
 		this.ledger.reconcile(holds);
-		if (isLeftOver || !isSameAdapters(before, holds)) {
+		if (hasStaleMove || !hasSameAdapters(before, holds)) {
 			await this.publish();
 		}
 	}
 }
 
-const isTaken = (effect: OrderEffect): boolean => effect === OrderEffect.UnderWay || effect === OrderEffect.Done;
+const isAccepted = (effect: OrderEffect): boolean => effect === OrderEffect.InProgress || effect === OrderEffect.Done;
 
-const isSameAdapters = (a: readonly HeldModel[], b: readonly HeldModel[]): boolean =>
+const hasSameAdapters = (a: readonly HeldModel[], b: readonly HeldModel[]): boolean =>
 	b.every(({name, adapters}) => isSameSet(a.find(held => held.name === name)?.adapters ?? [], adapters));
--- a/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
@@ -1,5 +1,5 @@
 /**
- * What callers ask for, over all entries: rates, what waits now, and what may be asked for soon.
+ * Demand for models and adapters, aggregated over all entries: request rates, pending requests and anticipated demand.
  */
 
 import {
@@ -8,42 +8,41 @@
 import type {DemandReport, PendingDemand} from '../demand-report.js';
 
 /**
- * Requests a second, for each engine, that are expected of the first models of the list until the first request comes, so
- * that they find engines before anybody waits; 4 in all, which is what an engine takes in with ease. What engines
- * hold at the start tells less of what will be asked for.
+ * Requests per second and engine that are expected for the first models of the list until the first request arrives, so
+ * that these models are loaded before a request has to wait. An engine serves 4 per second in all without
+ * difficulty. The order of the list predicts demand better than the models that engines hold at the start.
  */
-const expectedRates = [1.2, 0.6, 1.3, 1.4, 0.6, 0.5, 0.4, 0.3, 0.3];
-/** Time to begin an answer before any was told, ms: entries begin with the same. */
-const firstHeadMs = 125;
-/** What an entry wants is void when it has not been repeated, ms: three reports. */
-const wantedMs = 3000;
+const initialRatesPerEngine = [1.2, 0.6, 1.3, 1.4, 0.6, 0.5, 0.4, 0.3, 0.3];
+/** Time to the start of a response, assumed until an entry reports a measured one, ms; entries assume the same value. */
+const defaultHeadMs = 125;
+/** Pending demand of an entry expires when it is not reported again within this time, ms; equals three report intervals. */
+const pendingDemandTtlMs = 3000;
 
-/** The demand for the models of a service at one moment; rates in requests a second, times in ms. */
+/** Demand for the models of a service at one point in time; rates in requests per second, times in ms. */
 export type DemandOutlook = Pick<ModelPlanInput, 'rateOf' | 'expectedRateOf' | 'observedRateOf' | 'timeToFirstByteMsOf' | 'idleMsOf' | 'urgentIdleMsOf'> & {
-	/** Time since an adapter was last asked for, as `model/adapter`. */
+	/** Time since an adapter, given as `model/adapter`, was last requested, ms. */
 	adapterIdleOf: (name: string) => number;
 };
 
-/** What an entry wants, with its deadline in this instance's clock, monotonic ms. */
-export type KnownWanted = PendingDemand & {deadlineAt: number};
+/** Pending demand of an entry, with its deadline on this instance's monotonic clock, ms. */
+export type TimedPendingDemand = PendingDemand & {deadlineAt: number};
 
-/** The demand. */
 export class EngineDemand {
 	private readonly all = new ModelDemandEstimate();
-	/** Of callers without time for a load. */
+	/** Requests whose deadline is too short to wait for a load. */
 	private readonly urgent = new ModelDemandEstimate();
-	/** By `model/adapter`. */
+	/** Keyed by `model/adapter`. */
 	private readonly adapters = new ModelDemandEstimate();
 	private readonly step = new DemandShiftDetector();
-	/** Time to begin an answer by model and entry, ms. */
+	/** Time to the start of a response, by model and entry, ms. */
 	private readonly headTimes = new Map<string, Map<string, number>>();
-	/** By entry. */
-	private readonly wanted = new Map<string, {at: number; items: KnownWanted[]}>();
+	/** Keyed by entry. */
+	private readonly pending = new Map<string, {at: number; items: TimedPendingDemand[]}>();
 
 	constructor(private readonly now: () => number) {}
 
-	/** Hears what callers of one entry ask for. */
-	hear({entry, requests, urgent, headMs, wanted}: DemandReport): void {
+	/** Records the demand that one entry reports. */
+	recordReport({entry, requests, urgent, headMs, wanted}: DemandReport): void {
 		const now = this.now();
 		Object.entries(requests).forEach(([name, count]) => {
 			this.all.record(name.split('/', 1)[0] ?? name, count, now);
@@ -53,21 +52,21 @@
 			this.urgent.record(model, count, now);
 		});
 		Object.entries(headMs).forEach(([model, ms]) => {
-			const told = this.headTimes.get(model) ?? new Map<string, number>();
-			this.headTimes.set(model, told.set(entry, ms));
+			const byEntry = this.headTimes.get(model) ?? new Map<string, number>();
+			this.headTimes.set(model, byEntry.set(entry, ms));
 		});
-		this.wanted.set(entry, {at: now, items: wanted.map(item => ({...item, deadlineAt: now + item.remainingMs}))});
+		this.pending.set(entry, {at: now, items: wanted.map(item => ({...item, deadlineAt: now + item.remainingMs}))});
 	}
 
-	/** Before the first request, demand is expected in the order in which models are declared. */
-	expectFirst(spec: EngineSpec, engines: number): void {
+	/** Sets the demand expected before the first request, in the order in which models are declared. */
+	seedExpectedDemand(spec: EngineSpec, engines: number): void {
 		if (this.all.isEmpty) {
-			this.all.setExpectedRates(spec.models.map(({name}, rank) => [name, (expectedRates[rank] ?? 0) * engines]));
+			this.all.setExpectedRates(spec.models.map(({name}, rank) => [name, (initialRatesPerEngine[rank] ?? 0) * engines]));
 		}
 	}
 
-	/** The demand for the models of a service at this moment, worked out once: a round asks for it for each way to each load. */
-	look(spec: EngineSpec): DemandOutlook {
+	/** Computes the current demand for the models of a service. Called once per round, since planning reads it for every candidate load. */
+	computeOutlook(spec: EngineSpec): DemandOutlook {
 		const now = this.now();
 		const models = spec.models.map(({name}) => name);
 		const urgent = new Map(models.map(model => [model, this.urgent.rateOf(model, now)]));
@@ -85,55 +84,55 @@
 			shift: this.step.shift,
 		});
 		const headTimes = this.averageHeadTimes();
-		const usualHeadMs = mean([...headTimes.values()]) ?? firstHeadMs;
+		const averageHeadMs = mean([...headTimes.values()]) ?? defaultHeadMs;
 		const expected = anticipate(rates);
 		const shown = anticipate(shownRates);
 		return {
 			rateOf: model => rates.get(model) ?? 0,
 			expectedRateOf: model => expected.get(model) ?? 0,
 			observedRateOf: model => shown.get(model) ?? 0,
-			timeToFirstByteMsOf: model => headTimes.get(model) ?? usualHeadMs,
+			timeToFirstByteMsOf: model => headTimes.get(model) ?? averageHeadMs,
 			idleMsOf: model => this.all.idleMsOf(model, now),
 			urgentIdleMsOf: model => this.urgent.idleMsOf(model, now),
 			adapterIdleOf: name => this.adapters.idleMsOf(name, now),
 		};
 	}
 
-	/** Entries that have reported lately. */
-	countEntries(): number {
+	/** Counts the entries whose last report has not expired. */
+	countActiveEntries(): number {
 		const now = this.now();
-		return [...this.wanted.values()].filter(({at}) => now - at < wantedMs).length;
+		return [...this.pending.values()].filter(({at}) => now - at < pendingDemandTtlMs).length;
 	}
 
-	/** What requests for a service wait for, the most pressing first. */
-	listWanted(service: string): KnownWanted[] {
+	/** Lists the pending demand for a service, earliest deadline first. */
+	listPending(service: string): TimedPendingDemand[] {
 		const now = this.now();
-		return [...this.wanted.values()]
-			.filter(({at}) => now - at < wantedMs)
+		return [...this.pending.values()]
+			.filter(({at}) => now - at < pendingDemandTtlMs)
 			.flatMap(({items}) => items)
 			.filter(item => item.service === service && item.deadlineAt > now)
 			.toSorted((a, b) => a.deadlineAt - b.deadlineAt);
 	}
 
-	/** Time in which an engine without a queue begins an answer, ms: by model, the mean over the entries that have told one. */
+	/** Averages the time in which an idle engine starts a response over the entries that report one, by model, ms. */
 	private averageHeadTimes(): Map<string, number> {
-		return new Map([...this.headTimes].map(([model, told]) => [model, mean([...told.values()]) ?? firstHeadMs]));
+		return new Map([...this.headTimes].map(([model, byEntry]) => [model, mean([...byEntry.values()]) ?? defaultHeadMs]));
 	}
 }
 
 const mean = (values: readonly number[]): number | undefined =>
 	(values.length === 0 ? undefined : values.reduce((sum, value) => sum + value, 0) / values.length);
 
-/** The adapters that requests wait for, each once, the most pressing first: many entries want the same one. */
-export const listWantedAdapters = (wanted: readonly KnownWanted[]): AdapterName[] => {
-	const byName = new Map(wanted.flatMap(({model, adapter}) => (adapter === undefined ? [] : [[`${model}/${adapter}`, {model, adapter}] as const])));
+/** Lists the adapters that requests wait for, earliest deadline first, without the duplicates that several entries report. */
+export const listPendingAdapters = (pending: readonly TimedPendingDemand[]): AdapterName[] => {
+	const byName = new Map(pending.flatMap(({model, adapter}) => (adapter === undefined ? [] : [[`${model}/${adapter}`, {model, adapter}] as const])));
 	return [...byName.values()];
 };
 
-/** How many requests wait for each model, over all entries. */
-export const sumByModel = (wanted: readonly KnownWanted[]): PendingModel[] => {
+/** Sums the waiting requests by model over all entries. */
+export const countWaitingByModel = (pending: readonly TimedPendingDemand[]): PendingModel[] => {
 	const waiting = new Map<string, number>();
-	wanted.forEach(item => {
+	pending.forEach(item => {
 		waiting.set(item.model, (waiting.get(item.model) ?? 0) + item.waiting);
 	});
 	return [...waiting].map(([model, count]) => ({model, waiting: count}));
--- a/packages/mastvalve-fleet-control/src/engines/engine-port.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-port.ts
@@ -1,42 +1,42 @@
 /**
- * What directing engines needs of the outside: functions that the program hands in.
+ * The interface through which the scheduler reaches engines. The program that embeds this package implements it.
  */
 
 import type {EngineOrder, HeldModel} from 'mastvalve-fleet';
 
-/** What became of an order. */
+/** Outcome of sending an order to an engine. */
 export enum OrderOutcome {
-	/** It is under way. */
+	/** The engine accepted the order and is executing it. */
 	Accepted = 'taken',
-	/** It was in force already, or took no time. */
+	/** The requested state was already in force, or was reached immediately. */
 	InForce = 'in-force',
-	/** Another order is under way, or the count of orders is another one. */
+	/** Another order is in progress, or the engine's order count differs from the expected one. */
 	Conflict = 'conflict',
-	/** A higher fencing token was seen. */
+	/** The engine has seen a higher fencing token. */
 	Fenced = 'fenced',
-	/** Nobody, or somebody else, is at the address. */
+	/** No process, or a different endpoint, listens at the address. */
 	Absent = 'absent',
-	/** The order makes no sense to the engine. */
+	/** The engine rejected the order as malformed or not applicable. */
 	Invalid = 'invalid',
-	/** It may have been taken, or may be later. */
+	/** No response; the order may have been accepted, or may still be. */
 	Unanswered = 'unanswered',
 }
 
-/** An order as it is sent. */
+/** An order with its address, expected order count and fencing token. */
 export type SentOrder = {
 	endpointId: string;
 	address: string;
 	order: EngineOrder;
-	/** Orders that the engine has taken so far; it refuses when that differs. */
+	/** Number of orders the engine has accepted so far; the engine refuses the order if its own count differs. */
 	expectedCount: number;
 	holder: string;
 	fence: number;
 };
 
-/** The true state of an engine. */
+/** State of an engine, as the engine itself reports it. */
 export type EngineStatus = {
 	holds: HeldModel[];
-	/** Orders taken since its start. */
+	/** Number of orders accepted since the engine started. */
 	orderCount: number;
 	isBusy: boolean;
 	inMemory: string[];
@@ -44,9 +44,8 @@
 	loadingAdapters: string[];
 };
 
-/** The port. */
 export type EnginePort = {
 	sendOrder: (order: SentOrder) => Promise<OrderOutcome>;
-	/** Undefined when it does not answer, or another endpoint does. */
+	/** Undefined if there is no response, or if a different endpoint responds. */
 	readStatus: (endpointId: string, address: string) => Promise<EngineStatus | undefined>;
 };
--- a/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
@@ -1,8 +1,8 @@
 /**
- * The leader's duty towards engines: brings models and adapters to where requests want them.
+ * Schedules models and adapters onto engines according to demand. Runs on the leader.
  *
- * Only the instance whose claim is committed gives orders. Another one waits after its claim until the former can't
- * order any more, so engines never see two holders by turns.
+ * Only the instance whose claim is committed sends orders. A new holder waits after its claim until the former holder can
+ * no longer send orders, so engines never receive orders from two holders alternately.
  */
 
 import {
@@ -18,124 +18,122 @@
 import {ForeignStoreLoads} from './foreign-store-loads.js';
 import {FormerHolder, OrderLeaseGuard} from './order-lease-guard.js';
 
-/** What directing needs. */
 export type EngineSchedulerOptions = {
 	machine: FleetMachine;
 	clock: Clock;
-	/** Waits so many ms. */
+	/** Resolves after the given time, ms. */
 	wait: (ms: number) => Promise<void>;
 	port: EnginePort;
-	/** Name of this instance at engines. */
+	/** Name under which this instance sends orders. */
 	holder: string;
-	/** The term in which this instance leads with a valid lease; undefined when it doesn't. */
+	/** Returns the term in which this instance leads with a valid lease; undefined if it doesn't lead. */
 	readTerm: () => number | undefined;
-	/** Commits the claim to give orders; the result is the former holder, empty for none. */
+	/** Commits the claim to send orders; resolves to the former holder, empty if there was none, or undefined if the claim failed. */
 	claim: () => Promise<string | undefined>;
-	/** Whether the record was committed. */
+	/** Records what engines hold; resolves to whether the record was committed. */
 	publish: (holdings: Holdings) => Promise<boolean>;
-	/** Time for which the orders of one holder keep another from ordering, ms. */
+	/** Time after an order during which another holder may not send orders to the same engine, ms. */
 	orderLeaseMs: number;
-	/** Window in which loads from the store are counted, ms. */
+	/** Window over which loads from the weight store are counted, ms. */
 	storeWindowMs: number;
 	onEvent: (kind: string, detail: string) => void;
 };
 
-/** Added to the lease for messages that were on their way, ms. */
-const leaseReserveMs = 300;
+/** Added to the lease to allow for messages in flight, ms. */
+const leaseMarginMs = 300;
 /**
- * An engine at whose address nobody listened is planned without for this long after the last such report, ms: about the time
- * in which its missing heartbeats show.
+ * Time for which planning excludes an engine after the last report that nothing listens at its address, ms; about the time
+ * after which its missing heartbeats are noticed.
  */
-const absentMs = 4000;
-/** Reports of this time are answered by one round, ms. */
-const gatherMs = 10;
+const absenceMs = 4000;
+/** Reports that arrive within this time share one planning round, ms. */
+const reportBatchMs = 10;
 /**
- * Part of its time that an instance may spend on planning: heartbeats and acknowledgements pass through the same process, and
- * each report of an entry asks for a round.
+ * Maximum share of its time that an instance spends on planning: heartbeats and acknowledgements are handled by the same
+ * process, and each report of an entry requests a round.
  */
-const planningShare = 0.1;
-/** A round that took long because the process stood still keeps the next one waiting for this at most, ms: less than a load takes. */
+const maxPlanningShare = 0.1;
+/** Maximum delay of the next round after one that took long because the process was suspended, ms; shorter than a load. */
 const maxPlanningPauseMs = 500;
 
-/** The director. */
 export class EngineScheduler {
 	private readonly demand: EngineDemand;
-	private readonly mover: MoveDispatcher;
-	/** Until when an engine at whose address nobody listened is planned without, ms. */
+	private readonly dispatcher: MoveDispatcher;
+	/** Time until which planning excludes an engine because nothing listened at its address, ms. */
 	private readonly absentUntil = new Map<string, number>();
-	private readonly desks = new Map<string, EngineController>();
+	private readonly controllers = new Map<string, EngineController>();
 	private readonly storeRate = new StoreLoadLimiter();
-	private readonly storeLoads = new ForeignStoreLoads(this.storeRate);
+	private readonly foreignStoreLoads = new ForeignStoreLoads(this.storeRate);
 	private claimedTerm: number | undefined;
-	private readonly turns: OrderLeaseGuard;
-	/** Rises whenever all desks are closed. */
+	private readonly leaseGuard: OrderLeaseGuard;
+	/** Incremented whenever all controllers are closed. */
 	private generation = 0;
 	private isClaiming = false;
-	private isRoundDue = false;
-	/** Until when planning has had its share of the time, ms. */
+	private isRoundScheduled = false;
+	/** Time before which planning would exceed its share, ms. */
 	private nextRoundAt = Number.NEGATIVE_INFINITY;
-	/** When this instance became the holder of the orders, ms. */
+	/** Time from which no other instance can have sent orders, ms. */
 	private soleHolderSince = Number.NEGATIVE_INFINITY;
-	/** Whether nobody gave orders before, so that the list of models is at its beginning. */
+	/** Whether no instance held the order lease before, so that demand has to be estimated from the list of models. */
 	private isFirstHolder = false;
 
 	constructor(private readonly options: EngineSchedulerOptions) {
-		this.turns = new OrderLeaseGuard(options.orderLeaseMs + leaseReserveMs);
+		this.leaseGuard = new OrderLeaseGuard(options.orderLeaseMs + leaseMarginMs);
 		this.demand = new EngineDemand(() => options.clock.now());
-		this.mover = new MoveDispatcher({...options, storeRate: this.storeRate, controllerFor: id => this.deskOf(id)});
+		this.dispatcher = new MoveDispatcher({...options, storeRate: this.storeRate, controllerFor: id => this.controllerFor(id)});
 	}
 
-	/** Hears what callers of one entry ask for. */
+	/** Records the demand that one entry reports, and schedules a round. */
 	recordReport(report: DemandReport): void {
-		this.demand.hear(report);
+		this.demand.recordReport(report);
 		const now = this.options.clock.now();
 		report.absent.forEach(id => {
-			this.absentUntil.set(id, now + absentMs);
+			this.absentUntil.set(id, now + absenceMs);
 		});
-		report.suspects.forEach(id => this.desks.get(id)?.requestSync());
-		this.runSoon();
+		report.suspects.forEach(id => this.controllers.get(id)?.requestSync());
+		this.scheduleRound();
 	}
 
-	/** Entries that have reported lately. */
+	/** Counts the entries whose last report has not expired. */
 	countActiveEntries(): number {
-		return this.demand.countEntries();
+		return this.demand.countActiveEntries();
 	}
 
-	/** One round: claims the orders if need be, then begins moves. */
+	/** Runs one round: claims the order lease if this instance doesn't hold it in this term, otherwise starts moves. */
 	async runRound(): Promise<void> {
 		const {machine, clock} = this.options;
-		this.turns.observe(machine.list(), clock.now());
+		this.leaseGuard.observe(machine.list(), clock.now());
 		const term = this.options.readTerm();
 		if (term === undefined) {
-			this.storeLoads.observe(machine.list(), clock.now());
-			this.closeDesks();
+			this.foreignStoreLoads.observe(machine.list(), clock.now());
+			this.closeControllers();
 			this.claimedTerm = undefined;
 			return;
 		}
 
 		if (this.claimedTerm !== term) {
-			await this.takeClaim(term);
+			await this.claimOrders(term);
 			return;
 		}
 
-		this.directServices();
+		this.planServices();
 	}
 
-	/** Reports come in bursts; one round answers all of a moment, as soon as planning has a share of the time again. */
-	private runSoon(): void {
-		if (this.isRoundDue) {
+	/** Schedules one round for a burst of reports, as soon as planning is within its share of the time again. */
+	private scheduleRound(): void {
+		if (this.isRoundScheduled) {
 			return;
 		}
 
-		this.isRoundDue = true;
-		void this.options.wait(Math.max(gatherMs, this.nextRoundAt - this.options.clock.now())).then(async () => {
-			this.isRoundDue = false;
+		this.isRoundScheduled = true;
+		void this.options.wait(Math.max(reportBatchMs, this.nextRoundAt - this.options.clock.now())).then(async () => {
+			this.isRoundScheduled = false;
 			await this.runRound();
 		});
 	}
 
-	/** Plans for all services, unless planning has had its share of the time. */
-	private directServices(): void {
+	/** Plans for all services, unless planning has used up its share of the time. */
+	private planServices(): void {
 		const {machine, clock} = this.options;
 		const startedAt = clock.now();
 		if (startedAt < this.nextRoundAt) {
@@ -143,19 +141,19 @@
 		}
 
 		machine.configuration?.configuration.services.forEach(service => {
-			this.directService(service);
+			this.planService(service);
 		});
 		const endedAt = clock.now();
-		this.nextRoundAt = endedAt + Math.min(maxPlanningPauseMs, (endedAt - startedAt) * ((1 / planningShare) - 1));
+		this.nextRoundAt = endedAt + Math.min(maxPlanningPauseMs, (endedAt - startedAt) * ((1 / maxPlanningShare) - 1));
 	}
 
-	/** Moves in progress give no more orders, also when this instance may order again in the same term. */
-	private closeDesks(): void {
-		this.desks.clear();
+	/** Stops moves in progress from sending orders, even if this instance may send orders again in the same term. */
+	private closeControllers(): void {
+		this.controllers.clear();
 		this.generation += 1;
 	}
 
-	private async takeClaim(term: number): Promise<void> {
+	private async claimOrders(term: number): Promise<void> {
 		if (this.isClaiming) {
 			return;
 		}
@@ -168,16 +166,16 @@
 		}
 
 		const {machine, clock, holder, onEvent} = this.options;
-		this.storeLoads.observe(machine.list(), clock.now());
+		this.foreignStoreLoads.observe(machine.list(), clock.now());
 		this.isFirstHolder ||= former === '';
-		this.closeDesks();
+		this.closeControllers();
 		this.claimedTerm = term;
 		this.soleHolderSince = former === '' ? Number.NEGATIVE_INFINITY : clock.now();
-		this.turns.startClaim(clock.now(), classifyFormer(former, holder));
-		onEvent('orders.claimed', `in term ${term} after ${former || 'nobody'}`);
+		this.leaseGuard.startClaim(clock.now(), classifyFormerHolder(former, holder));
+		onEvent('orders.claimed', `in term ${term}; former holder: ${former || 'none'}`);
 	}
 
-	private directService(service: ServedService): void {
+	private planService(service: ServedService): void {
 		const {engine} = service;
 		if (!engine) {
 			return;
@@ -185,14 +183,14 @@
 
 		const endpoints = this.options.machine.list().filter(endpoint =>
 			endpoint.service === service.name && endpoint.phase === EndpointPhase.Ready && !this.isAbsent(endpoint.id));
-		const wanted = this.demand.listWanted(service.name);
+		const pending = this.demand.listPending(service.name);
 		if (this.isFirstHolder) {
-			this.demand.expectFirst(engine, endpoints.length);
+			this.demand.seedExpectedDemand(engine, endpoints.length);
 		}
 
 		const round = new PlanningRound(endpoints, endpoint => this.describe(endpoint));
-		const demand = this.demand.look(engine);
-		this.mover.dispatchMoves(engine, round, demand, wanted);
+		const demand = this.demand.computeOutlook(engine);
+		this.dispatcher.dispatchMoves(engine, round, demand, pending);
 	}
 
 	private isAbsent(id: string): boolean {
@@ -205,20 +203,20 @@
 	}
 
 	private describe(endpoint: FleetEndpoint): EngineState {
-		const state = this.deskOf(endpoint.id).describe(endpoint);
-		return {...state, isReady: state.isReady && this.turns.mayOrder(endpoint, this.options.clock.now())};
+		const state = this.controllerFor(endpoint.id).describe(endpoint);
+		return {...state, isReady: state.isReady && this.leaseGuard.mayOrder(endpoint, this.options.clock.now())};
 	}
 
-	private deskOf(id: string): EngineController {
+	private controllerFor(id: string): EngineController {
 		const {machine, clock, wait, port, holder, publish, onEvent} = this.options;
-		const known = this.desks.get(id);
+		const known = this.controllers.get(id);
 		if (known) {
 			return known;
 		}
 
 		const {claimedTerm: term, generation} = this;
 		const isOpen = (): boolean => this.generation === generation;
-		const desk = new EngineController({
+		const controller = new EngineController({
 			id,
 			port,
 			clock,
@@ -230,17 +228,17 @@
 				const endpoint = machine.find(id);
 				return endpoint?.phase === EndpointPhase.Ready || endpoint?.phase === EndpointPhase.Silent ? endpoint : undefined;
 			},
-			// A move of before may end while the next holder's are under way; its record would say that nothing is.
+			// A move of an earlier claim may end while moves of the current one are in progress; its record would state that none are.
 			publish: async holdings => isOpen() && publish(holdings),
 			readSpec: () => machine.configuration?.configuration.services.find(({name}) => name === machine.find(id)?.service)?.engine,
 			onEvent,
 		});
-		this.desks.set(id, desk);
-		return desk;
+		this.controllers.set(id, controller);
+		return controller;
 	}
 }
 
-const classifyFormer = (former: string, holder: string): FormerHolder => {
+const classifyFormerHolder = (former: string, holder: string): FormerHolder => {
 	if (former === '') {
 		return FormerHolder.None;
 	}
--- a/packages/mastvalve-fleet-control/src/engines/order-lease-guard.ts
+++ b/packages/mastvalve-fleet-control/src/engines/order-lease-guard.ts
@@ -1,48 +1,48 @@
 /**
- * When the holder of the orders may order an engine that another holder has ordered before: engines must not see two
- * holders within the time of an order lease.
+ * Decides when the holder of the order lease may send orders to an engine that received orders from a former holder: an
+ * engine must not receive orders from two holders within one lease.
  *
- * Every order is preceded by a committed record, so each control instance knows from the log when an engine was last
- * ordered at the latest. Engines that were left alone for longer than the lease may be ordered at once.
+ * Every order is preceded by a committed record, so each control instance knows from the log an upper bound for the time of
+ * the last order to an engine. Engines without an order for longer than the lease may receive orders immediately.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
 
-/** Who held the orders before. */
+/** Holder of the order lease before the current claim. */
 export enum FormerHolder {
 	None = 'none',
 	Itself = 'itself',
 	Other = 'other',
 }
 
-type Seen = {orderedAt: number; at: number};
+type ObservedOrder = {orderedAt: number; at: number};
 
-/** The turns at all engines. */
 export class OrderLeaseGuard {
-	private readonly seen = new Map<string, Seen>();
-	private readonly own = new Set<string>();
+	private readonly observed = new Map<string, ObservedOrder>();
+	/** Engines that are free for the orders of this holder. */
+	private readonly allowed = new Set<string>();
 	private claimedAt: number | undefined;
-	private isAfterOther = false;
+	private hasFormerHolder = false;
 
-	/** `leaseMs` is the time for which the orders of one holder keep another from ordering. */
+	/** `leaseMs` is the time after an order during which another holder may not send orders to the same engine. */
 	constructor(private readonly leaseMs: number) {}
 
-	/** Notes when records of orders are seen; to be called often, by whoever may become the holder. */
+	/** Notes the time at which records of orders are first observed; must be called often on every instance that may become the holder. */
 	observe(endpoints: readonly FleetEndpoint[], now: number): void {
 		const ids = new Set(endpoints.map(({id}) => id));
-		[...this.seen.keys()].filter(id => !ids.has(id)).forEach(id => {
-			this.seen.delete(id);
+		[...this.observed.keys()].filter(id => !ids.has(id)).forEach(id => {
+			this.observed.delete(id);
 		});
 		endpoints.forEach(({id, orderedAt}) => {
-			if (this.seen.get(id)?.orderedAt !== orderedAt) {
-				this.seen.set(id, {orderedAt, at: now});
+			if (this.observed.get(id)?.orderedAt !== orderedAt) {
+				this.observed.set(id, {orderedAt, at: now});
 			}
 		});
 	}
 
 	/**
-	 * This instance has become the holder. One that claims again after itself goes on with the wait of its former claim; if
-	 * it doesn't know that claim, it was restarted, and may have waited in vain for whoever came before.
+	 * Starts the claim of this instance. If it was the former holder itself, the wait of its earlier claim continues; if it
+	 * doesn't know that claim, it has restarted, and the wait for the holder before that may not have been over.
 	 */
 	startClaim(now: number, former: FormerHolder): void {
 		if (former === FormerHolder.Itself && this.claimedAt !== undefined) {
@@ -50,22 +50,22 @@
 		}
 
 		this.claimedAt = now;
-		this.isAfterOther = former !== FormerHolder.None;
-		this.own.clear();
+		this.hasFormerHolder = former !== FormerHolder.None;
+		this.allowed.clear();
 	}
 
-	/** Whether this holder may order an engine. */
+	/** Whether this holder may send orders to an engine. */
 	mayOrder(endpoint: FleetEndpoint, now: number): boolean {
-		if (!this.own.has(endpoint.id) && this.isFree(endpoint, now)) {
-			this.own.add(endpoint.id);
+		if (!this.allowed.has(endpoint.id) && this.hasFormerLeaseExpired(endpoint, now)) {
+			this.allowed.add(endpoint.id);
 		}
 
-		return this.own.has(endpoint.id);
+		return this.allowed.has(endpoint.id);
 	}
 
-	private isFree({id, orderedAt, isOrdering}: FleetEndpoint, now: number): boolean {
-		const hasOtherEnded = !this.isAfterOther || orderedAt === 0 || now >= (this.claimedAt ?? now) + this.leaseMs;
-		const lastOrderAt = this.seen.get(id)?.at ?? now;
-		return hasOtherEnded || (!isOrdering && now >= lastOrderAt + this.leaseMs);
+	private hasFormerLeaseExpired({id, orderedAt, isOrdering}: FleetEndpoint, now: number): boolean {
+		const isFormerLeaseOver = !this.hasFormerHolder || orderedAt === 0 || now >= (this.claimedAt ?? now) + this.leaseMs;
+		const lastOrderAt = this.observed.get(id)?.at ?? now;
+		return isFormerLeaseOver || (!isOrdering && now >= lastOrderAt + this.leaseMs);
 	}
 }
--- a/packages/mastvalve-fleet-control/src/engines/order-sequence.ts
+++ b/packages/mastvalve-fleet-control/src/engines/order-sequence.ts
@@ -1,90 +1,88 @@
 /**
- * The sequence of orders to one engine, one after another.
+ * Sends orders to one engine, one at a time.
  *
- * Every order names the count of orders that the engine has taken so far. An order without an answer may still be
- * carried out later, so it is sent again with the same count until an answer comes: whichever copy is taken first, the
- * others are void. When it is given up before that, a copy may still come; this is remembered.
+ * Every order carries the number of orders that the engine has accepted so far. An unanswered order may still be executed
+ * later, so it is resent with the same count until a response arrives: once one copy is accepted, the engine refuses the
+ * others. If resending is abandoned before that, a copy may still arrive late; the sequence keeps track of this.
  */
 
 import {EngineOrderKind, type EngineOrder, type FleetEndpoint} from 'mastvalve-fleet';
 import type {Clock} from 'mastvalve-utils';
 import {OrderOutcome, type EnginePort, type EngineStatus} from './engine-port.js';
 
-/** What a sequence is made from. */
 export type OrderSequenceOptions = {
 	id: string;
 	port: EnginePort;
 	clock: Clock;
-	/** Waits so many ms. */
+	/** Resolves after the given time, ms. */
 	wait: (ms: number) => Promise<void>;
 	holder: string;
-	/** Since when nobody else can have sent an order, monotonic ms. */
+	/** Time from which no other instance can have sent an order, monotonic ms. */
 	soleHolderSince: number;
-	/** The fencing token at this moment; undefined when this instance may not give orders. */
+	/** Returns the current fencing token; undefined while this instance may not send orders. */
 	readFence: () => number | undefined;
-	/** The endpoint as the log has it. */
+	/** Returns the endpoint as recorded in the log. */
 	readEndpoint: () => FleetEndpoint | undefined;
 	onEvent: (kind: string, detail: string) => void;
 };
 
-/** What came of an order. */
+/** Effect of an order. */
 export enum OrderEffect {
-	/** It was refused, or never sent. */
+	/** The order was refused, or never sent. */
 	None = 'none',
-	/** It was given up without an answer, and may have been taken or may be later. */
+	/** Abandoned without a response; the order may have been accepted, or may still be. */
 	Unknown = 'unknown',
-	/** It was taken and takes time. */
-	UnderWay = 'under-way',
-	/** It is in force. */
+	/** The order was accepted and is being executed. */
+	InProgress = 'under-way',
+	/** The requested state is in force. */
 	Done = 'done',
 }
 
-/** Pause before an unanswered order is sent again, ms. */
-const resendPauseMs = 250;
-/** Pause after a refused order, so that a wrong belief costs few orders, ms. */
-const refusedPauseMs = 100;
-/** What an engine says of itself is up to some hundred ms old, ms. */
-const statusAgeMs = 500;
-/** An unanswered order that was not carried out in this time never will be, ms: late ones came 2 to 12 s late. */
+/** Delay before an unanswered order is resent, ms. */
+const resendDelayMs = 250;
+/** Delay after a refused order, ms; limits the orders wasted while the recorded state of the engine is wrong. */
+const refusedDelayMs = 100;
+/** Maximum age of the status that an engine reports, ms; it can lag by a few hundred ms. */
+const maxStatusAgeMs = 500;
+/** Time after which an unanswered order can no longer be executed, ms; late orders were executed 2 to 12 s late. */
 export const maxOrderDelayMs = 13_000;
 
-/** The sequence. */
 export class OrderSequence {
-	/** Orders taken; undefined when it must be read first. */
+	/** Number of accepted orders; undefined until it is read from the engine. */
 	private count: number | undefined;
 	/**
-	 * Until when an order that nobody follows may still be carried out, ms. It ends once another one was taken, or when the engine's
-	 * state was read behind that time: that the time is over says nothing of whether the order was carried out.
+	 * Time until which an abandoned order may still be executed, ms. Cleared when another order is accepted, or when the
+	 * engine's state is read after that time: the elapsed time alone does not show whether the order was executed.
 	 */
 	private lateOrderUntil: number | undefined;
-	/** When the last order was sent that is known of, ms. */
+	/** Time at which the last known order was sent, ms. */
 	private lastOrderAt: number;
 
 	constructor(private readonly options: OrderSequenceOptions) {
 		this.lastOrderAt = options.soleHolderSince;
 	}
 
-	/** Whether the count is known, so that orders can be given. */
+	/** Whether the order count is known, so that orders can be sent. */
 	get isCountKnown(): boolean {
 		return this.count !== undefined;
 	}
 
-	/** Whether an order that nobody follows may still be carried out, or has been without anybody's knowledge. */
+	/** Whether an abandoned order may still be executed, or may have been executed unnoticed. */
 	get hasLateOrder(): boolean {
 		return this.lateOrderUntil !== undefined;
 	}
 
-	/** Whether the engine's state must be read to learn what came of a late order. */
+	/** Whether the engine's state must be read to determine if a late order was executed. */
 	get isStatusDue(): boolean {
 		return this.lateOrderUntil !== undefined && this.options.clock.now() >= this.lateOrderUntil;
 	}
 
-	/** The count must be read again before the next order. */
+	/** Requires the order count to be read again before the next order. */
 	invalidateCount(): void {
 		this.count = undefined;
 	}
 
-	/** The count was read, with a state that is newer than the last order. */
+	/** Sets the order count, read together with a state newer than the last order. */
 	setCount(count: number): void {
 		this.count = count;
 		if (this.isStatusDue) {
@@ -92,24 +90,24 @@
 		}
 	}
 
-	/** A copy of an order may still be carried out. */
+	/** Notes that a copy of an order may still be executed. */
 	expectLateOrder(): void {
 		this.lateOrderUntil = this.options.clock.now() + maxOrderDelayMs;
 	}
 
-	/** Reads the engine's state, not older than the last order. */
+	/** Reads a state of the engine that is not older than the last order; waits until that is certain. */
 	async readStatus(): Promise<EngineStatus | undefined> {
 		const {id, port, clock, wait, readEndpoint} = this.options;
-		const isOldUntil = this.lastOrderAt + statusAgeMs;
-		if (clock.now() < isOldUntil) {
-			await wait(isOldUntil - clock.now());
+		const staleUntil = this.lastOrderAt + maxStatusAgeMs;
+		if (clock.now() < staleUntil) {
+			await wait(staleUntil - clock.now());
 		}
 
 		const endpoint = readEndpoint();
 		return endpoint && port.readStatus(id, endpoint.address);
 	}
 
-	/** Gives one order until it is answered. */
+	/** Sends one order, and resends it until it is answered or this instance may no longer send orders. */
 	async send(order: EngineOrder): Promise<OrderEffect> {
 		const {effect, isAnswered} = await this.sendUntilAnswered(order);
 		if (isAnswered) {
@@ -120,14 +118,14 @@
 		return OrderEffect.Unknown;
 	}
 
-	/** An order was counted. A count that was forgotten meanwhile stays unknown: an order without a count could come late at any time. */
-	private advance(expectedCount: number): void {
+	/** Counts an accepted order. A count invalidated in the meantime stays unknown: an order sent without a count could be executed late at any time. */
+	private incrementCount(expectedCount: number): void {
 		this.count = this.count === undefined ? undefined : expectedCount + 1;
 	}
 
 	private async sendUntilAnswered(order: EngineOrder): Promise<{effect: OrderEffect; isAnswered: boolean}> {
 		const {id, port, holder, readFence, readEndpoint, onEvent} = this.options;
-		const what = `${order.kind} ${order.model}${order.adapter === undefined ? '' : `/${order.adapter}`} at ${id}`;
+		const description = `${order.kind} ${order.model}${order.adapter === undefined ? '' : `/${order.adapter}`} at ${id}`;
 		let isAnswered = true;
 		while (this.count !== undefined) {
 			const endpoint = readEndpoint();
@@ -142,19 +140,19 @@
 				endpointId: id, address: endpoint.address, order, expectedCount, holder, fence,
 			});
 			this.lastOrderAt = this.options.clock.now();
-			onEvent('order.sent', `${what}, count ${expectedCount}: ${outcome}`);
+			onEvent('order.sent', `${description}, count ${expectedCount}: ${outcome}`);
 			switch (outcome) {
 				case OrderOutcome.Accepted: {
-					this.advance(expectedCount);
+					this.incrementCount(expectedCount);
 					this.lateOrderUntil = undefined;
-					return {effect: OrderEffect.UnderWay, isAnswered: true};
+					return {effect: OrderEffect.InProgress, isAnswered: true};
 				}
 
 				case OrderOutcome.InForce: {
-					// Whether it was counted differs by order; the count is read again before the next one.
+					// Whether the engine counted the order depends on its kind; otherwise the count is read again before the next order.
 					if (order.kind === EngineOrderKind.Unload && order.adapter !== undefined) {
-						this.advance(expectedCount);
-						// It was counted, so a copy of an earlier order is void.
+						this.incrementCount(expectedCount);
+						// The order was counted, so the engine refuses copies of earlier orders.
 						this.lateOrderUntil = undefined;
 					} else {
 						this.count = undefined;
@@ -166,7 +164,7 @@
 				case OrderOutcome.Unanswered: {
 					isAnswered = false;
 					// eslint-disable-next-line no-await-in-loop
-					await this.options.wait(resendPauseMs);
+					await this.options.wait(resendDelayMs);
 					break;
 				}
 
@@ -176,7 +174,7 @@
 				case OrderOutcome.Invalid: {
 					this.count = undefined;
 					// eslint-disable-next-line no-await-in-loop
-					await this.options.wait(refusedPauseMs);
+					await this.options.wait(refusedDelayMs);
 					return {effect: OrderEffect.None, isAnswered};
 				}
 			}
--- a/packages/mastvalve-fleet-control/src/engines/planning-round.ts
+++ b/packages/mastvalve-fleet-control/src/engines/planning-round.ts
@@ -1,11 +1,10 @@
 /**
- * The engines as one round of planning sees them: described once, and again where the round itself has begun something. Describing
- * all of them for each step of a round would be most of its time.
+ * The engine states used in one planning round. Each engine is described once, and again only after the round has started a
+ * move there: describing all engines at every step would take most of the round's time.
  */
 
 import type {EngineState, FleetEndpoint} from 'mastvalve-fleet';
 
-/** The engines of one round. */
 export class PlanningRound {
 	private readonly endpoints: ReadonlyMap<string, FleetEndpoint>;
 	private readonly states: Map<string, EngineState>;
@@ -15,12 +14,12 @@
 		this.states = new Map(endpoints.map(endpoint => [endpoint.id, describe(endpoint)]));
 	}
 
-	/** All engines, as they are after what the round has begun. */
+	/** States of all engines, including the moves that this round has started. */
 	get engines(): EngineState[] {
 		return [...this.states.values()];
 	}
 
-	/** The round has begun something at an engine. */
+	/** Describes an engine again after the round has started a move there. */
 	refresh(id: string): void {
 		const endpoint = this.endpoints.get(id);
 		if (endpoint) {
--- a/packages/mastvalve-fleet-control/src/fleet-control.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-control.ts
@@ -1,6 +1,6 @@
 /**
- * One control instance of a fleet. Any instance takes any call; what must survive goes through the leader's log, and
- * what must be newest is confirmed by the leader's lease.
+ * One control instance of a fleet. Every instance accepts every call; durable changes are committed to the leader's log, and
+ * reads of the newest state are confirmed by the leader's lease.
  */
 
 import type {LimitTolerance} from 'mastvalve-access';
@@ -26,36 +26,34 @@
 import {Liveness} from './liveness.js';
 import {FreshnessTracker} from './freshness-tracker.js';
 
-/** What a control instance is made from. */
 export type FleetControlOptions = Omit<ControlGroupOptions, 'machine'> & {
 	/** Time between two heartbeats of an endpoint, ms. */
 	heartbeatMs: number;
-	/** Time for which the orders of one holder keep another from ordering, ms. */
+	/** Time after an order during which another holder may not send orders to the same engine, ms. */
 	orderLeaseMs: number;
-	/** Window in which loads from the weight store are counted, ms. */
+	/** Window over which loads from the weight store are counted, ms. */
 	storeWindowMs: number;
-	/** Whether entries must prove how new their keys are. */
+	/** Whether entries must prove the freshness of their keys. */
 	mustProveKeys: boolean;
-	/** How far what runs may exceed the limits of workspaces. */
+	/** How far running requests may exceed the limits of workspaces. */
 	limitTolerance: LimitTolerance;
-	/** Orders to engines. */
+	/** Port through which orders are sent to engines. */
 	engines: EnginePort;
 };
 
-const dutyPauseMs = 300;
-const directPauseMs = 100;
-/** An incomplete group takes the first changes after this long all the same, ms. */
+const maintenanceIntervalMs = 300;
+const schedulingIntervalMs = 100;
+/** Time after which an incomplete group accepts the first configuration all the same, ms. */
 const incompleteGraceMs = 5000;
 
-/** One control instance. */
 export class FleetControl implements ControlService {
 	static async open(options: FleetControlOptions): Promise<FleetControl> {
-		const waiting = {wake: () => undefined as void};
+		const listener = {wake: () => undefined as void};
 		const machine = new FleetMachine(() => {
-			waiting.wake();
+			listener.wake();
 		});
 		const control = new FleetControl(options, machine, await ControlGroup.open({...options, machine}));
-		waiting.wake = () => {
+		listener.wake = () => {
 			control.followers.wake();
 		};
 
@@ -64,23 +62,23 @@
 
 	readonly group: ControlGroup;
 	private readonly liveness = new Liveness();
-	private readonly duties: FleetMaintenance;
+	private readonly maintenance: FleetMaintenance;
 	private readonly followers: FollowService;
-	private readonly ending = new AbortController();
+	private readonly shutdown = new AbortController();
 	private readonly startedAt: number;
-	private readonly director: EngineScheduler;
-	private readonly sure: FreshnessTracker;
+	private readonly scheduler: EngineScheduler;
+	private readonly freshness: FreshnessTracker;
 	private readonly limits: LimitService;
 	private readonly limitPublisher: LimitPublisher;
 
 	private constructor(private readonly options: FleetControlOptions, readonly machine: FleetMachine, group: ControlGroup) {
 		this.group = group;
 		this.startedAt = options.clock.now();
-		this.sure = new FreshnessTracker({
+		this.freshness = new FreshnessTracker({
 			group,
 			clock: options.clock,
 			onError(thrown) {
-				options.onError(`the leader could not be asked: ${describeError(thrown)}`);
+				options.onError(`query of the leader failed: ${describeError(thrown)}`);
 			},
 		});
 		this.limits = new LimitService({
@@ -96,10 +94,10 @@
 			now: () => options.clock.now(),
 		});
 		this.followers = new FollowService({
-			machine, group, clock: options.clock, sure: this.sure, ending: this.ending.signal,
+			machine, group, clock: options.clock, freshness: this.freshness, shutdownSignal: this.shutdown.signal,
 		});
-		this.director = this.createDirector();
-		this.duties = new FleetMaintenance({
+		this.scheduler = this.createScheduler();
+		this.maintenance = new FleetMaintenance({
 			group,
 			machine,
 			liveness: this.liveness,
@@ -111,7 +109,7 @@
 		});
 	}
 
-	/** Calls of other processes of mastvalve. */
+	/** Returns the handlers of calls by other mastvalve processes. */
 	handlers(): Array<[string, PeerHandler]> {
 		return [
 			...this.group.handlers(),
@@ -119,19 +117,19 @@
 			['/follow', async (body, signal) => this.followers.follow(assumeType<FollowRequest>(body), signal)],
 			['/demand', async body => {
 				const report = assumeType<DemandReport>(body);
-				this.director.recordReport(report);
+				this.scheduler.recordReport(report);
 				await this.markLeaving(report.leaving);
-				const answer: DemandResponse = {entries: this.director.countActiveEntries()};
+				const answer: DemandResponse = {entries: this.scheduler.countActiveEntries()};
 				return this.group.isLeading ? ok(answer) : err(new ControlUnavailableError('This control instance does not lead.'));
 			}],
 			['/limits', async body => {
 				const answers = this.limits.answer(assumeType<LimitRequest>(body));
 				this.limitPublisher.publish().catch((error: unknown) => {
-					this.options.onError(`limits of endpoints were not recorded and will be: ${describeError(error)}`);
+					this.options.onError(`recording the limits of endpoints failed; retrying: ${describeError(error)}`);
 				});
 				return answers ? ok(answers) : err(new ControlUnavailableError('This control instance does not lead.'));
 			}],
-			['/crashes', async body => this.takeCrashes(assumeType<CrashReport[]>(body))],
+			['/crashes', async body => this.recordCrashes(assumeType<CrashReport[]>(body))],
 			['/heard', async body => {
 				this.liveness.recordHeartbeats(assumeType<string[]>(body), this.options.clock.now());
 				return ok(true);
@@ -139,64 +137,64 @@
 		];
 	}
 
-	/** Takes part until it is stopped. */
+	/** Runs until it is stopped. */
 	async run(): Promise<void> {
 		const onError = (thrown: unknown) => {
-			this.options.onError(`a duty failed and is tried again: ${describeError(thrown)}`);
+			this.options.onError(`a periodic task failed; retrying: ${describeError(thrown)}`);
 		};
 
 		await Promise.all([
 			this.group.run(),
-			...(this.options.mustProveKeys ? [this.sure.run(this.ending.signal)] : []),
-			repeatUntilAborted(this.ending.signal, dutyPauseMs, async () => this.duties.runRound(), onError),
-			repeatUntilAborted(this.ending.signal, directPauseMs, async () => this.director.runRound(), onError),
+			...(this.options.mustProveKeys ? [this.freshness.run(this.shutdown.signal)] : []),
+			repeatUntilAborted(this.shutdown.signal, maintenanceIntervalMs, async () => this.maintenance.runRound(), onError),
+			repeatUntilAborted(this.shutdown.signal, schedulingIntervalMs, async () => this.scheduler.runRound(), onError),
 		]);
 	}
 
-	/** Hands leadership over, so that a planned stop costs no election. */
+	/** Transfers leadership, so that a planned stop causes no election. */
 	async transferLeadership(): Promise<void> {
 		await this.group.handOver();
 	}
 
-	/** Stops; hands over before. */
+	/** Transfers leadership, then stops. */
 	async stop(): Promise<void> {
 		await this.transferLeadership();
-		this.ending.abort();
+		this.shutdown.abort();
 		this.followers.wake();
 		await this.group.stop();
 	}
 
-	/** Puts a configuration in force, unless one at least as new is; the result is the version held. */
+	/** Puts a configuration in force, unless its version is not newer than the current one; returns the version in force. */
 	async configure(stated: StatedConfiguration): Promise<Result<number, MastvalveError>> {
-		const held = this.machine.configuration?.configuration.version;
-		const isYoung = this.options.clock.now() - this.startedAt < incompleteGraceMs;
-		if (held === undefined && isYoung && !this.group.isComplete) {
+		const current = this.machine.configuration?.configuration.version;
+		const isWithinGrace = this.options.clock.now() - this.startedAt < incompleteGraceMs;
+		if (current === undefined && isWithinGrace && !this.group.isComplete) {
 			return err(new ControlUnavailableError('The control instances have not all found each other yet.'));
 		}
 
-		// What is applied here is committed; an older version changes nothing.
-		if (held !== undefined && held >= stated.configuration.version) {
-			return ok(held);
+		// Applied configurations are committed, and a version that is not newer changes nothing.
+		if (current !== undefined && current >= stated.configuration.version) {
+			return ok(current);
 		}
 
-		const askedAt = this.options.clock.now();
+		const startedAt = this.options.clock.now();
 		const result = await this.propose({kind: FleetCommandKind.Configure, stated});
 		const {version, routes} = stated.configuration;
-		const outcome = result.isOk() ? `committed, version ${assumeType<number>(result.value)} is held` : `not known to be committed: ${result.error.message}`;
-		this.options.onEvent('configuration.stated', `version ${version}, ${routes.length} routes, ${stated.source.length} bytes: ${outcome}; after ${Math.round(this.options.clock.now() - askedAt)} ms`);
-		return result.map(held => assumeType<number>(held));
+		const outcome = result.isOk() ? `committed; version ${assumeType<number>(result.value)} is in force` : `outcome unknown: ${result.error.message}`;
+		this.options.onEvent('configuration.stated', `version ${version}, ${routes.length} routes, ${stated.source.length} bytes: ${outcome}; after ${Math.round(this.options.clock.now() - startedAt)} ms`);
+		return result.map(inForce => assumeType<number>(inForce));
 	}
 
-	/** The newest configuration; an error when this instance can't be sure of it. */
+	/** Returns the newest configuration; an error if this instance can't confirm that it is the newest. */
 	async readConfiguration(): Promise<Result<StatedConfiguration | undefined, MastvalveError>> {
 		const fresh = await this.group.readFresh();
 		return fresh.map(() => this.machine.configuration);
 	}
 
-	/** Takes a heartbeat. It is acknowledged once all that is new in it is committed. */
+	/** Records a heartbeat. It is acknowledged once all changes that it reports are committed. */
 	async report(report: EndpointReport): Promise<Result<true, MastvalveError>> {
 		if (this.group.isCurrent && !this.machine.acceptsReport(report)) {
-			this.options.onEvent('endpoint.refused', `${report.id} at ${report.address}: a later incarnation is known, or no configuration names the service ${report.service}`);
+			this.options.onEvent('endpoint.refused', `${report.id} at ${report.address}: a later incarnation is known, or no configuration declares the service ${report.service}`);
 			return err(new UnknownEndpointError(report.id));
 		}
 
@@ -210,25 +208,25 @@
 		return result.map(() => true as const);
 	}
 
-	/** An endpoint leaves for good. It is acknowledged once that is committed. */
+	/** Records that an endpoint leaves permanently. It is acknowledged once committed. */
 	async leave(id: string): Promise<Result<true, MastvalveError>> {
 		const result = await this.propose({kind: FleetCommandKind.Leave, id});
 		return result.map(() => true as const);
 	}
 
-	/** Takes an entry's word of endpoints that crashed. It is acknowledged once it is committed: the count must outlive a leader. */
-	private async takeCrashes(reports: CrashReport[]): Promise<Result<true, MastvalveError>> {
+	/** Records crashes of endpoints that an entry reports. They are acknowledged once committed: the counts must survive a change of leader. */
+	private async recordCrashes(reports: CrashReport[]): Promise<Result<true, MastvalveError>> {
 		const result = await this.propose({kind: FleetCommandKind.RecordCrashes, reports});
 		if (result.isOk()) {
 			const quarantined = assumeType<string[]>(result.value);
-			const crashed = reports.map(({endpointId, fingerprints}) => `${endpointId} under ${fingerprints.length} requests`).join(', ');
+			const crashed = reports.map(({endpointId, fingerprints}) => `${endpointId} with ${fingerprints.length} requests in flight`).join(', ');
 			this.options.onEvent('endpoint.crashed', `${crashed}; quarantined: ${quarantined.join(', ') || 'none'}`);
 		}
 
 		return result.map(() => true as const);
 	}
 
-	/** Records that endpoints are leaving. Entries repeat what could not be committed with their next reports. */
+	/** Records that endpoints are leaving. Entries repeat reports that were not committed. */
 	private async markLeaving(reported: readonly string[]): Promise<void> {
 		const ids = reported.filter(id => {
 			const endpoint = this.machine.find(id);
@@ -239,10 +237,10 @@
 		}
 
 		const result = await this.propose({kind: FleetCommandKind.MarkLeaving, ids});
-		this.options.onEvent('endpoint.leaving', `${ids.join(', ')}: their answers say so; ${result.isOk() ? 'recorded' : `not recorded yet: ${result.error.message}`}`);
+		this.options.onEvent('endpoint.leaving', `${ids.join(', ')}: announced in their responses; ${result.isOk() ? 'recorded' : `not recorded yet: ${result.error.message}`}`);
 	}
 
-	private createDirector(): EngineScheduler {
+	private createScheduler(): EngineScheduler {
 		const {options, machine, group} = this;
 		return new EngineScheduler({
 			machine,
@@ -250,7 +248,7 @@
 			wait: waitFor,
 			port: options.engines,
 			holder: options.address,
-			readTerm: () => (this.ending.signal.aborted ? undefined : group.leadingTerm),
+			readTerm: () => (this.shutdown.signal.aborted ? undefined : group.leadingTerm),
 			claim: async () => {
 				const former = await this.propose({kind: FleetCommandKind.ClaimOrders, holder: options.address});
 				return former.isOk() ? assumeType<string>(former.value) : undefined;
--- a/packages/mastvalve-fleet-control/src/fleet-maintenance.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-maintenance.ts
@@ -1,6 +1,6 @@
 /**
- * What a control instance does again and again: the leader notes endpoints that are silent or forgotten, ends quarantines and records limits;
- * the others tell it whom they have heard.
+ * Periodic tasks of a control instance: the leader marks silent endpoints, forgets old ones, ends quarantines and records
+ * limits; other instances forward the heartbeats that they receive to the leader.
  */
 
 import type {ControlGroup} from 'mastvalve-cluster';
@@ -13,11 +13,10 @@
 import type {Liveness, LivenessTimes} from './liveness.js';
 import {QuarantineExpiry} from './quarantine-expiry.js';
 
-/** What they are carried out with. */
 export type FleetMaintenanceOptions = {
 	group: ControlGroup;
 	machine: FleetMachine;
-	/** Who was heard when, by this instance and by those that told it. */
+	/** Times of heartbeats received by this instance or forwarded to it. */
 	liveness: Liveness;
 	clock: Clock;
 	/** Time between two heartbeats of an endpoint, ms. */
@@ -27,14 +26,13 @@
 	onEvent: (kind: string, detail: string) => void;
 };
 
-/** Heartbeats that an endpoint may miss before others are preferred; they come late by seconds at times. */
+/** Heartbeats that an endpoint may miss before others are preferred; heartbeats are occasionally late by seconds. */
 const missedHeartbeats = 4;
 const forgetGoneAfterMs = 120_000;
 const forgetSilentAfterMs = 90_000;
 
-/** The duties. */
 export class FleetMaintenance {
-	private readonly quarantineClock = new QuarantineExpiry();
+	private readonly quarantineExpiry = new QuarantineExpiry();
 	private readonly times: LivenessTimes;
 	private wasLeading = false;
 
@@ -42,25 +40,25 @@
 		this.times = {silentAfterMs: missedHeartbeats * options.heartbeatMs, forgetGoneAfterMs, forgetSilentAfterMs};
 	}
 
-	/** One round. */
+	/** Runs each task once. */
 	async runRound(): Promise<void> {
 		const {group, liveness, publishLimits} = this.options;
 		if (!group.isLeading) {
 			this.wasLeading = false;
-			await this.passHeard();
+			await this.forwardHeartbeats();
 			return;
 		}
 
 		if (!this.wasLeading) {
 			this.wasLeading = true;
 			liveness.reset();
-			this.quarantineClock.reset();
+			this.quarantineExpiry.reset();
 		}
 
 		await publishLimits();
 		await this.markSilent();
-		await this.endQuarantines();
-		await this.forget();
+		await this.releaseExpiredQuarantines();
+		await this.forgetExpired();
 	}
 
 	private async markSilent(): Promise<void> {
@@ -72,16 +70,16 @@
 		}
 	}
 
-	private async endQuarantines(): Promise<void> {
+	private async releaseExpiredQuarantines(): Promise<void> {
 		const {machine, clock, propose, onEvent} = this.options;
-		const fingerprints = this.quarantineClock.listExpired(machine.listQuarantined(), clock.now());
+		const fingerprints = this.quarantineExpiry.listExpired(machine.listQuarantined(), clock.now());
 		if (fingerprints.length > 0) {
 			await propose({kind: FleetCommandKind.ReleaseQuarantine, fingerprints});
 			onEvent('quarantine.ended', `after ${quarantineMs} ms: ${fingerprints.join(', ')}`);
 		}
 	}
 
-	private async forget(): Promise<void> {
+	private async forgetExpired(): Promise<void> {
 		const {machine, liveness, clock, propose} = this.options;
 		const ids = liveness.listForgettable(machine.list(), clock.now(), this.times);
 		if (ids.length > 0) {
@@ -89,8 +87,8 @@
 		}
 	}
 
-	/** The leader hears from the others whom they have heard. */
-	private async passHeard(): Promise<void> {
+	/** Forwards the ids of endpoints whose heartbeats this instance has received to the leader. */
+	private async forwardHeartbeats(): Promise<void> {
 		const ids = this.options.liveness.takeUnforwarded();
 		if (ids.length > 0) {
 			await this.options.group.callLeader('/heard', ids);
--- a/packages/mastvalve-fleet-control/src/fleet-metrics.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics of a control instance, read when they are asked for.
+ * Metrics of a control instance, collected on each scrape.
  */
 
 import {EndpointPhase} from 'mastvalve-fleet';
@@ -8,11 +8,11 @@
 
 type FleetGauge = {name: string; help: string; read: (control: FleetControl) => number};
 
-/** One sample for each endpoint that has named a limit. */
+/** Registers the gauge with one sample per endpoint that has announced a limit. */
 const registerLimits = (registry: Registry, readControl: () => FleetControl | undefined): void => {
 	const limits = new Gauge({
 		name: 'mastvalve_endpoint_limit_per_second',
-		help: 'Requests a second that an endpoint takes from all entries together, while it names a limit',
+		help: 'Requests per second that an endpoint accepts from all entries together, while it announces a limit',
 		labelNames: ['endpoint'],
 		registers: [registry],
 		collect() {
@@ -26,17 +26,17 @@
 	});
 };
 
-/** Registers the metrics; an instance that keeps no log has none of them. */
+/** Registers the metrics; an instance that does not store the log exports no samples. */
 export const registerFleetMetrics = (registry: Registry, readControl: () => FleetControl | undefined): void => {
 	const gauges: FleetGauge[] = [
 		{name: 'mastvalve_is_leader', help: '1 when this instance leads with a valid lease', read: control => Number(control.group.isLeading)},
-		{name: 'mastvalve_is_current', help: '1 when this instance has heard from the leader lately', read: control => Number(control.group.isCurrent)},
+		{name: 'mastvalve_is_current', help: '1 when this instance is in recent contact with the leader', read: control => Number(control.group.isCurrent)},
 		{name: 'mastvalve_term', help: 'Term of the replicated log', read: control => control.group.term},
 		{name: 'mastvalve_voters', help: 'Members that make up quorums', read: control => control.group.voters.length},
 		{name: 'mastvalve_fleet_revision', help: 'Log index of the last change of the fleet', read: control => control.machine.revision},
 		{name: 'mastvalve_configuration_version', help: 'Version of the configuration in force', read: control => control.machine.configuration?.configuration.version ?? 0},
-		{name: 'mastvalve_endpoints', help: 'Endpoints that are remembered', read: control => control.machine.list().length},
-		{name: 'mastvalve_quarantined_requests', help: 'Requests that are handed to no endpoint, since several crashed under them', read: control => control.machine.listQuarantined().length},
+		{name: 'mastvalve_endpoints', help: 'Endpoints on record', read: control => control.machine.list().length},
+		{name: 'mastvalve_quarantined_requests', help: 'Requests that are not dispatched since several endpoints crashed running them', read: control => control.machine.listQuarantined().length},
 	];
 	registerLimits(registry, readControl);
 	gauges.forEach(({name, help, read}) => {
--- a/packages/mastvalve-fleet-control/src/follow-service.ts
+++ b/packages/mastvalve-fleet-control/src/follow-service.ts
@@ -1,5 +1,5 @@
 /**
- * Answers the entries that follow a control instance: with what is new to each of them, and only while the instance may know the newest.
+ * Sends each following entry the changes that it lacks, and only while this instance may hold the newest state.
  */
 
 import type {ControlGroup} from 'mastvalve-cluster';
@@ -10,39 +10,37 @@
 import type {FollowResponse, FollowRequest} from './follow.js';
 import type {FreshnessTracker} from './freshness-tracker.js';
 
-/** What it is made from. */
 export type FollowServiceOptions = {
 	machine: FleetMachine;
 	group: ControlGroup;
 	clock: Clock;
-	sure: FreshnessTracker;
-	/** Aborts when the instance ends. */
-	ending: AbortSignal;
+	freshness: FreshnessTracker;
+	/** Aborts when the instance stops. */
+	shutdownSignal: AbortSignal;
 };
 
-/** Longest wait for a change, ms: well below the time in which a follower must notice that this instance is cut off. */
+/** Longest wait for a change, ms; well below the time within which a follower must detect that this instance is disconnected. */
 const maxFollowWaitMs = 500;
-/** Time in which an instance that follows a leader hears of it again: a heartbeat and a half, ms. */
-const rehearMs = 165;
-/** How often a question that waits for a leader looks for one, ms. */
+/** Time within which a follower of the leader receives its next message: 1.5 heartbeats, ms. */
+const leaderContactMs = 165;
+/** Interval at which a request that waits for a leader checks for one, ms. */
 const leaderPollMs = 15;
 
-/** The service. */
 export class FollowService {
-	private readonly waiting = new Set<() => void>();
+	private readonly waiters = new Set<() => void>();
 
 	constructor(private readonly options: FollowServiceOptions) {}
 
-	/** Answers a follower: at once when there is something new, else when something changes. */
+	/** Responds to a follower: immediately if it lacks changes, otherwise at the next change or after the wait. */
 	async follow({place, waitMs, mustBeNewest}: FollowRequest, signal: AbortSignal): Promise<Result<FollowResponse, MastvalveError>> {
-		const cameAt = this.options.clock.now();
-		const fresh = mustBeNewest ? await this.readFreshSoon(Math.min(waitMs, maxFollowWaitMs), signal) : ok(true);
+		const receivedAt = this.options.clock.now();
+		const fresh = mustBeNewest ? await this.readFreshWithRetry(Math.min(waitMs, maxFollowWaitMs), signal) : ok(true);
 		if (fresh.isErr()) {
 			return err(fresh.error);
 		}
 
 		if (mustBeNewest) {
-			this.options.sure.recordConfirmed(cameAt);
+			this.options.freshness.recordConfirmed(receivedAt);
 		}
 
 		if (!this.options.machine.hasChangesSince(place) && !this.options.machine.isBehind(place)) {
@@ -50,32 +48,32 @@
 		}
 
 		await this.waitUntilCurrent(signal);
-		if (!this.options.group.isCurrent || this.options.ending.aborted) {
+		if (!this.options.group.isCurrent || this.options.shutdownSignal.aborted) {
 			return err(new ControlUnavailableError(`This control instance may not know the newest state: ${this.options.group.describeAge()}.`));
 		}
 
 		return this.options.machine.isBehind(place)
 			? err(new ControlUnavailableError('This control instance knows less than the follower that asks.'))
-			: ok(this.createAnswer(place, cameAt));
+			: ok(this.createAnswer(place, receivedAt));
 	}
 
-	/** Something has changed. */
+	/** Wakes the waiting requests after a change. */
 	wake(): void {
-		[...this.waiting].forEach(wake => {
+		[...this.waiters].forEach(wake => {
 			wake();
 		});
 	}
 
-	private createAnswer(place: FollowRequest['place'], cameAt: number): FollowResponse {
-		const {machine, group, sure} = this.options;
-		const sureAt = sure.read();
+	private createAnswer(place: FollowRequest['place'], receivedAt: number): FollowResponse {
+		const {machine, group, freshness} = this.options;
+		const confirmedAt = freshness.read();
 		return {
-			update: machine.changesSince(place), members: group.members, leader: group.leaderAddress, sureAfterMs: sureAt === undefined ? undefined : sureAt - cameAt,
+			update: machine.changesSince(place), members: group.members, leader: group.leaderAddress, sureAfterMs: confirmedAt === undefined ? undefined : confirmedAt - receivedAt,
 		};
 	}
 
-	/** Without a leader that is sure of the newest, the question waits for one: asking again and again would cost a starting entry more than the wait. */
-	private async readFreshSoon(ms: number, signal: AbortSignal): Promise<Result<unknown, MastvalveError>> {
+	/** Waits for a leader that can confirm the newest state: repeated requests would delay a starting entry more than the wait. */
+	private async readFreshWithRetry(ms: number, signal: AbortSignal): Promise<Result<unknown, MastvalveError>> {
 		const endAt = this.options.clock.now() + ms;
 		let fresh: Result<unknown, MastvalveError> = await this.options.group.readFresh();
 		while (fresh.isErr() && this.options.clock.now() < endAt && !signal.aborted) {
@@ -88,9 +86,9 @@
 		return fresh;
 	}
 
-	/** An instance whose clocks have jumped hears its leader again within a heartbeat; sending its followers away would cost more. */
+	/** Waits until the instance is current again: after a clock jump the leader's next message arrives within a heartbeat, and rejecting the followers would cost more. */
 	private async waitUntilCurrent(signal: AbortSignal): Promise<void> {
-		const endAt = this.options.clock.now() + rehearMs;
+		const endAt = this.options.clock.now() + leaderContactMs;
 		while (!this.options.group.isCurrent && this.options.clock.now() < endAt && !signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
 			await waitFor(leaderPollMs, signal);
@@ -101,12 +99,12 @@
 		await new Promise<void>(resolve => {
 			const done = () => {
 				clearTimeout(timer);
-				this.waiting.delete(done);
+				this.waiters.delete(done);
 				resolve();
 			};
 
 			const timer = setTimeout(done, ms);
-			this.waiting.add(done);
+			this.waiters.add(done);
 			signal.addEventListener('abort', done, {once: true});
 		});
 	}
--- a/packages/mastvalve-fleet-control/src/follow.ts
+++ b/packages/mastvalve-fleet-control/src/follow.ts
@@ -1,29 +1,27 @@
 /**
- * What an entry asks for when it follows the fleet, and what it gets.
+ * Messages with which an entry follows the state of the fleet.
  */
 
 import type {FleetCursor, FleetUpdate} from 'mastvalve-fleet';
 
-/** A follower's question. */
 export type FollowRequest = {
-	/** How far the follower knows the changes. */
+	/** Position up to which the follower has received changes. */
 	place: FleetCursor;
-	/** How long to wait for a change, ms. */
+	/** Longest wait for a change, ms. */
 	waitMs: number;
-	/** Whether the answer must include all that was committed before the question. */
+	/** Whether the response must include everything committed before the request. */
 	mustBeNewest: boolean;
 };
 
-/** The answer. */
 export type FollowResponse = {
 	update: FleetUpdate;
-	/** Addresses of all control instances, for the next questions. */
+	/** Addresses of all control instances, for further requests. */
 	members: string[];
 	/** Address of the leader, if one is known. */
 	leader: string | undefined;
 	/**
-	 * The update leads to a state that holds all that was committed up to so long after the question came, or before it when
-	 * negative, ms. Missing when this instance is sure of no moment.
+	 * The updated state includes everything committed up to this time, relative to the arrival of the request (negative:
+	 * before it), ms. Missing if this instance can't confirm any time.
 	 */
 	sureAfterMs?: number;
 };
--- a/packages/mastvalve-fleet-control/src/forwarded-call.ts
+++ b/packages/mastvalve-fleet-control/src/forwarded-call.ts
@@ -1,10 +1,9 @@
 /**
- * Paths of calls that an instance without a log passes on.
+ * Paths of the calls that an instance without a log forwards.
  */
 
 import type {StatedConfiguration} from 'mastvalve-fleet';
 
-/** The paths. */
 export enum ForwardedCall {
 	Configure = '/configure',
 	ReadConfiguration = '/read-configuration',
@@ -12,5 +11,5 @@
 	Leave = '/leave',
 }
 
-/** The answer to a read; nothing is stated before the first configuration. */
+/** Response to a read; `stated` is undefined before the first configuration. */
 export type ReadConfiguration = {stated: StatedConfiguration | undefined};
--- a/packages/mastvalve-fleet-control/src/forwarded-control.ts
+++ b/packages/mastvalve-fleet-control/src/forwarded-control.ts
@@ -1,5 +1,5 @@
 /**
- * The control service of an instance that keeps no log: it passes every call on to instances that do and acknowledges
+ * The control service of an instance that does not store the log: forwards every call to instances that do, and acknowledges
  * nothing by itself.
  */
 
@@ -11,56 +11,54 @@
 import type {ControlService} from './control-service.js';
 import {ForwardedCall, type ReadConfiguration} from './forwarded-call.js';
 
-/** What it is made from. */
 export type ForwardedControlOptions = {
 	client: PeerClient;
-	/** Addresses of control instances, the nearest first. */
+	/** Lists the addresses of control instances that store the log, nearest first. */
 	listLogInstances: () => string[];
 };
 
 /**
- * Callers go to another instance after a second without an answer, so two silent instances are tried within that, ms. A
- * commit takes some ms.
+ * Time without a response after which the next instance is tried, ms. Callers switch to another instance after 1 s, so two
+ * attempts must fit into it. A commit takes a few ms.
  */
-const callSilenceMs = 450;
-const maxTries = 2;
+const callTimeoutMs = 450;
+const maxAttempts = 2;
 
-/** The service. */
 export class ForwardedControl implements ControlService {
 	constructor(private readonly options: ForwardedControlOptions) {}
 
 	async configure(stated: StatedConfiguration): Promise<Result<number, MastvalveError>> {
-		return this.pass<number>(ForwardedCall.Configure, stated);
+		return this.forward<number>(ForwardedCall.Configure, stated);
 	}
 
 	async readConfiguration(): Promise<Result<StatedConfiguration | undefined, MastvalveError>> {
-		const read = await this.pass<ReadConfiguration>(ForwardedCall.ReadConfiguration, {});
+		const read = await this.forward<ReadConfiguration>(ForwardedCall.ReadConfiguration, {});
 		return read.map(({stated}) => stated);
 	}
 
 	async report(report: EndpointReport): Promise<Result<true, MastvalveError>> {
-		return this.pass<true>(ForwardedCall.Report, report);
+		return this.forward<true>(ForwardedCall.Report, report);
 	}
 
 	async leave(id: string): Promise<Result<true, MastvalveError>> {
-		return this.pass<true>(ForwardedCall.Leave, {id});
+		return this.forward<true>(ForwardedCall.Leave, {id});
 	}
 
-	private async pass<T>(call: ForwardedCall, body: unknown): Promise<Result<T, MastvalveError>> {
-		const addresses = this.options.listLogInstances().slice(0, maxTries);
+	private async forward<T>(call: ForwardedCall, body: unknown): Promise<Result<T, MastvalveError>> {
+		const addresses = this.options.listLogInstances().slice(0, maxAttempts);
 		const none: Result<T, MastvalveError> = err(new ControlUnavailableError('No control instance is known that could decide.'));
 		return addresses.reduce<Promise<Result<T, MastvalveError>>>(async (before, address) => {
 			const result = await before;
 			return result.isOk()
 				? result
 				: this.options.client.call<T>({
-					address, path: call, body, silenceMs: callSilenceMs,
+					address, path: call, body, silenceMs: callTimeoutMs,
 				});
 		}, Promise.resolve(none));
 	}
 }
 
-/** Answers that passed-on calls get from a control instance. */
+/** Creates the handlers of forwarded calls on an instance that stores the log. */
 export const createForwardedHandlers = (service: ControlService): Array<[string, (body: unknown) => Promise<Result<unknown, MastvalveError>>]> => [
 	[ForwardedCall.Configure, async body => service.configure(assumeType<StatedConfiguration>(body))],
 	[ForwardedCall.ReadConfiguration, async () => {
--- a/packages/mastvalve-fleet-control/src/freshness-tracker.ts
+++ b/packages/mastvalve-fleet-control/src/freshness-tracker.ts
@@ -1,24 +1,23 @@
 /**
- * Up to which moment a control instance is sure to know all that was committed: the latest one at which it asked the log's
- * leader, and the leader answered by its lease. A heartbeat of the leader proves no such moment, since it may have been on its
- * way for long.
+ * Tracks the time up to which a control instance is guaranteed to know everything committed: the start of its latest query
+ * that the log's leader answered under its lease. A heartbeat of the leader proves nothing of the kind, since it may have been
+ * in flight for long.
  */
 
 import {ConfirmedTime} from 'mastvalve-access';
 import type {ControlGroup} from 'mastvalve-cluster';
 import {repeatUntilAborted, SuspensionWatch, type Clock} from 'mastvalve-utils';
 
-/** What it is made from. */
 export type FreshnessTrackerOptions = {
 	group: Pick<ControlGroup, 'isLeading' | 'readFresh'>;
 	clock: Clock;
 	onError: (thrown: unknown) => void;
 };
 
-/** Pause between two questions to the leader, ms: a twentieth of the shortest bound on keys that were taken away (5 s). */
-const askPauseMs = 250;
+/** Interval between queries to the leader, ms: 1/20 of the shortest bound on the use of revoked keys (5 s). */
+const queryIntervalMs = 250;
 
-/** The moment. Times are monotonic, ms. */
+/** Times are monotonic, ms. */
 export class FreshnessTracker {
 	private readonly proven = new ConfirmedTime();
 	private readonly suspension: SuspensionWatch;
@@ -27,9 +26,9 @@
 		this.suspension = new SuspensionWatch(options.clock);
 	}
 
-	/** The moment; undefined while there is none. */
+	/** Returns the confirmed time; undefined while there is none. */
 	read(): number | undefined {
-		this.endIfSuspended();
+		this.invalidateAfterSuspension();
 		if (this.options.group.isLeading) {
 			return this.options.clock.now();
 		}
@@ -37,26 +36,26 @@
 		return this.proven.latestAt === Number.NEGATIVE_INFINITY ? undefined : this.proven.latestAt;
 	}
 
-	/** All that was committed up to a moment was read from the leader, in a question that began then. */
-	recordConfirmed(askedAt: number): void {
-		this.endIfSuspended();
-		this.proven.record(askedAt, askedAt);
+	/** Records a confirmed read from the leader; `queriedAt` is the start of the query. */
+	recordConfirmed(queriedAt: number): void {
+		this.invalidateAfterSuspension();
+		this.proven.record(queriedAt, queriedAt);
 	}
 
-	/** Asks the leader again and again until the signal aborts. */
+	/** Queries the leader periodically until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		await repeatUntilAborted(signal, askPauseMs, async () => this.renew(), this.options.onError);
+		await repeatUntilAborted(signal, queryIntervalMs, async () => this.renew(), this.options.onError);
 	}
 
 	private async renew(): Promise<void> {
-		const askedAt = this.options.clock.now();
+		const queriedAt = this.options.clock.now();
 		const fresh = await this.options.group.readFresh();
 		if (fresh.isOk()) {
-			this.recordConfirmed(askedAt);
+			this.recordConfirmed(queriedAt);
 		}
 	}
 
-	private endIfSuspended(): void {
+	private invalidateAfterSuspension(): void {
 		if (this.suspension.hasJumped()) {
 			this.proven.invalidate(this.options.clock.now());
 		}
--- a/packages/mastvalve-fleet-control/src/index.ts
+++ b/packages/mastvalve-fleet-control/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Control of a fleet.
+ * Control of a fleet: replicated state, limits, and the scheduling of models onto engines.
  */
 
 export * from './control-node.js';
--- a/packages/mastvalve-fleet-control/src/limit-publisher.ts
+++ b/packages/mastvalve-fleet-control/src/limit-publisher.ts
@@ -1,36 +1,34 @@
 /**
- * Tells all entries, through the log, which endpoints have named which limits: an entry that has not heard a limit itself must keep to
- * it too, and the next leader must know it.
+ * Publishes the limits that endpoints announce to all entries through the log: entries that have not received an announcement
+ * themselves must respect the limit too, and the next leader must know it.
  */
 
 import {FleetCommandKind, type FleetCommand} from 'mastvalve-fleet';
 import type {EndpointLimit} from 'mastvalve-limits';
 
-/** What it is made from. */
 export type LimitPublisherOptions = {
 	listChanged: () => EndpointLimit[];
-	/** Whether the command was committed. */
+	/** Resolves to whether the command was committed. */
 	propose: (command: FleetCommand) => Promise<boolean>;
 	onEvent: (kind: string, detail: string) => void;
 	/** Monotonic, ms. */
 	now: () => number;
 };
 
-/** A limit that only changes is recorded anew after this time at the earliest, ms: entries need to know that there is one, and the leader counts by the newest. */
-const changePauseMs = 1000;
+/** Minimum interval between records of a changed limit, ms: entries only need to know that a limit exists, and the leader counts with the newest value. */
+const minChangeIntervalMs = 1000;
 
 const describeLimit = ({endpoint, perSecond}: EndpointLimit): string =>
-	(perSecond === undefined ? `${endpoint} names none any more` : `${endpoint} takes ${perSecond} requests a second`);
+	(perSecond === undefined ? `${endpoint} no longer announces a limit` : `${endpoint} accepts ${perSecond} requests per second`);
 
-/** The publisher. */
 export class LimitPublisher {
 	private isPublishing = false;
-	/** When a limit was last recorded, by endpoint, ms. */
+	/** Time of the last record of a limit, by endpoint, ms. */
 	private readonly publishedAt = new Map<string, number>();
 
 	constructor(private readonly options: LimitPublisherOptions) {}
 
-	/** Records what has changed, one record after the other. */
+	/** Records the changed limits; does nothing while an earlier record is in progress. */
 	async publish(): Promise<void> {
 		const {listChanged, propose, onEvent, now} = this.options;
 		const limits = this.isPublishing ? [] : listChanged().filter(limit => this.isDue(limit));
@@ -55,6 +53,6 @@
 	}
 
 	private isDue({endpoint, perSecond}: EndpointLimit): boolean {
-		return perSecond === undefined || this.options.now() >= (this.publishedAt.get(endpoint) ?? Number.NEGATIVE_INFINITY) + changePauseMs;
+		return perSecond === undefined || this.options.now() >= (this.publishedAt.get(endpoint) ?? Number.NEGATIVE_INFINITY) + minChangeIntervalMs;
 	}
 }
--- a/packages/mastvalve-fleet-control/src/limit-service.ts
+++ b/packages/mastvalve-fleet-control/src/limit-service.ts
@@ -1,6 +1,6 @@
 /**
- * Counts at the leader what may still be asked for: entries claim what a request costs its workspace before they take it, and a
- * permit of a limited endpoint before they hand a request over.
+ * Enforces limits at the leader: entries claim the cost of a request from its workspace's limit before they admit it, and a
+ * permit of a limited endpoint before they dispatch it.
  */
 
 import {
@@ -11,74 +11,71 @@
 	EndpointLimits, type LimitTimestamp, type EndpointLimit, type PermitClaim, type PermitResult, type LimitReport,
 } from 'mastvalve-limits';
 
-/** What it is made from. */
 export type LimitServiceOptions = {
 	tolerance: LimitTolerance;
 	readConfiguration: () => ServingConfiguration | undefined;
 	findEndpoint: (id: string) => FleetEndpoint | undefined;
-	/** The term in which this instance leads with a valid lease; undefined when it doesn't. */
+	/** Returns the term in which this instance leads with a valid lease; undefined if it doesn't lead. */
 	readTerm: () => number | undefined;
 	/** Monotonic, ms. */
 	now: () => number;
 };
 
-/** What an entry asks of the leader. */
+/** Request of an entry to the leader. */
 export type LimitRequest = {
 	entry: string;
 	claims: LimitClaim[];
-	/** What answers of endpoints said of their limits. */
+	/** Limits that endpoints announced in their responses. */
 	words: LimitReport[];
-	/** Requests for limited endpoints, the most urgent first. */
+	/** Claims for permits of limited endpoints, most urgent first. */
 	handovers: PermitClaim[];
-	/** Limited endpoints that did not get a request which was let through. */
+	/** Limited endpoints whose granted permit was not used. */
 	unused: string[];
-	/** Reservations whose requests wait no more. */
+	/** Reservations whose requests no longer wait. */
 	released: string[];
-	/** What the entry was granted before; missing when it has told this leader already. */
+	/** Earlier grants of the entry; missing once this leader has received them. */
 	history?: PriorGrant[];
 };
 
-/** The answer. */
 export type LimitResponse = {
-	/** For each claim in its order 0, or the time until it can be taken, ms. */
+	/** For each claim, in order: 0 if granted, otherwise the time until it can be granted, ms. */
 	waitMs: number[];
-	/** For each request for a limited endpoint. */
+	/** For each claim for a permit of a limited endpoint, in order. */
 	grants: PermitResult[];
-	/** When these requests were let through. */
+	/** Time at which the permits were granted. */
 	grantedAt: LimitTimestamp;
-	/** Set when this leader doesn't know what the entry was granted before; nothing was taken then. */
+	/** Whether this leader lacks the earlier grants of the entry; nothing is granted in that case. */
 	needsHistory: boolean;
 };
 
-/** The service. */
 export class LimitService {
-	/** Of the term in which this instance leads. */
-	private account: {term: number; ledger: LimitLedger; endpoints: EndpointLimits; heard: Set<string>} | undefined;
-	private known: {configuration: ServingConfiguration; workspaces: WorkspaceTable} | undefined;
+	/** Account of the current term; `synchronizedEntries` are those whose earlier grants are known. */
+	private account: {term: number; ledger: LimitLedger; endpoints: EndpointLimits; synchronizedEntries: Set<string>} | undefined;
+	private workspaceCache: {configuration: ServingConfiguration; workspaces: WorkspaceTable} | undefined;
 
 	constructor(private readonly options: LimitServiceOptions) {}
 
-	/** Answers claims; undefined when another instance may lead. */
+	/** Grants or defers claims; undefined if another instance may lead. */
 	answer({entry, claims, history, words, handovers, unused, released}: LimitRequest): LimitResponse | undefined {
-		const account = this.openAccount();
+		const account = this.readAccount();
 		if (!account) {
 			return undefined;
 		}
 
-		const {ledger, endpoints, heard} = account;
+		const {ledger, endpoints, synchronizedEntries} = account;
 		const workspaces = this.readWorkspaces();
 		const now = this.options.now();
-		if (history && !heard.has(entry)) {
-			heard.add(entry);
+		if (history && !synchronizedEntries.has(entry)) {
+			synchronizedEntries.add(entry);
 			history.forEach(grant => {
-				const known = workspaces?.findByName(grant.workspace);
-				if (known) {
-					ledger.addPriorGrant(known, grant, now);
+				const knownWorkspace = workspaces?.findByName(grant.workspace);
+				if (knownWorkspace) {
+					ledger.addPriorGrant(knownWorkspace, grant, now);
 				}
 			});
 		}
 
-		if (!heard.has(entry)) {
+		if (!synchronizedEntries.has(entry)) {
 			return {
 				waitMs: [], grants: [], grantedAt: endpoints.timestamp, needsHistory: true,
 			};
@@ -97,22 +94,22 @@
 		return {
 			needsHistory: false,
 			waitMs: claims.map(({workspace, cost}) => {
-				const known = workspaces?.findByName(workspace);
-				// A workspace that is gone has no limit here; the entry refuses its keys by itself.
-				return known ? ledger.applyClaim(known, cost, now) : 0;
+				const knownWorkspace = workspaces?.findByName(workspace);
+				// A removed workspace has no limit here; the entry refuses its keys.
+				return knownWorkspace ? ledger.applyClaim(knownWorkspace, cost, now) : 0;
 			}),
 			grants: handovers.map(claim => endpoints.claim(claim, now)),
 			grantedAt: endpoints.timestamp,
 		};
 	}
 
-	/** Limits of endpoints that the log doesn't tell as they are; none while another instance may lead. */
+	/** Lists the limits of endpoints that differ from the log; none while another instance may lead. */
 	listChanged(): EndpointLimit[] {
-		return this.openAccount()?.endpoints.listChanged() ?? [];
+		return this.readAccount()?.endpoints.listChanged() ?? [];
 	}
 
-	/** The account of the present term; another one may have counted in between. */
-	private openAccount(): LimitService['account'] {
+	/** Returns the account of the current term. An account of an earlier term is discarded, since another leader may have granted claims in between. */
+	private readAccount(): LimitService['account'] {
 		const term = this.options.readTerm();
 		if (term === undefined) {
 			return undefined;
@@ -120,7 +117,7 @@
 
 		if (this.account?.term !== term) {
 			this.account = {
-				term, ledger: new LimitLedger(this.options.tolerance, this.options.now()), endpoints: new EndpointLimits(term, id => this.readRecorded(id)), heard: new Set(),
+				term, ledger: new LimitLedger(this.options.tolerance, this.options.now()), endpoints: new EndpointLimits(term, id => this.readRecorded(id)), synchronizedEntries: new Set(),
 			};
 		}
 
@@ -134,10 +131,10 @@
 
 	private readWorkspaces(): WorkspaceTable | undefined {
 		const configuration = this.options.readConfiguration();
-		if (configuration && this.known?.configuration !== configuration) {
-			this.known = {configuration, workspaces: new WorkspaceTable(configuration.workspaces ?? [])};
+		if (configuration && this.workspaceCache?.configuration !== configuration) {
+			this.workspaceCache = {configuration, workspaces: new WorkspaceTable(configuration.workspaces ?? [])};
 		}
 
-		return configuration && this.known?.workspaces;
+		return configuration && this.workspaceCache?.workspaces;
 	}
 }
--- a/packages/mastvalve-fleet-control/src/liveness.ts
+++ b/packages/mastvalve-fleet-control/src/liveness.ts
@@ -1,52 +1,51 @@
 /**
- * When each endpoint was last heard of. It is not in the log: a new leader gives every endpoint a fresh start.
+ * Tracks the last heartbeat of each endpoint. These times are not in the log: a new leader restarts the timeout of every endpoint.
  */
 
 import {EndpointPhase, type FleetEndpoint} from 'mastvalve-fleet';
 
-/** Times after which something is made of silence, ms. */
+/** Timeouts without a heartbeat, ms. */
 export type LivenessTimes = {
-	/** Other endpoints are preferred from then on. */
+	/** After this time, other endpoints are preferred. */
 	silentAfterMs: number;
-	/** An endpoint that has ended is remembered this long, against late heartbeats. */
+	/** Retention of an endpoint that has left, so that late heartbeats don't add it again. */
 	forgetGoneAfterMs: number;
-	/** A silent one is remembered this long; it may be cut off from control and still serve. */
+	/** Retention of a silent endpoint; it may be disconnected from control and still serve. */
 	forgetSilentAfterMs: number;
 };
 
-/** Knows who has been heard. */
 export class Liveness {
-	private readonly heardAt = new Map<string, number>();
-	private fresh = new Set<string>();
+	private readonly lastHeartbeatAt = new Map<string, number>();
+	private unforwarded = new Set<string>();
 
-	/** Hears of endpoints. */
+	/** Records heartbeats of endpoints; `now` is monotonic, ms. */
 	recordHeartbeats(ids: readonly string[], now: number): void {
 		ids.forEach(id => {
-			this.heardAt.set(id, now);
-			this.fresh.add(id);
+			this.lastHeartbeatAt.set(id, now);
+			this.unforwarded.add(id);
 		});
 	}
 
-	/** Who was heard since the last call. */
+	/** Returns the endpoints with a heartbeat since the last call. */
 	takeUnforwarded(): string[] {
-		const ids = [...this.fresh];
-		this.fresh = new Set();
+		const ids = [...this.unforwarded];
+		this.unforwarded = new Set();
 		return ids;
 	}
 
-	/** Gives every endpoint a fresh start. */
+	/** Restarts the timeout of every endpoint. */
 	reset(): void {
-		this.heardAt.clear();
+		this.lastHeartbeatAt.clear();
 	}
 
-	/** Ready endpoints that have been silent. */
+	/** Lists the ready endpoints whose heartbeats have timed out. */
 	listSilent(endpoints: readonly FleetEndpoint[], now: number, {silentAfterMs}: LivenessTimes): string[] {
 		return endpoints
-			.filter(endpoint => endpoint.phase === EndpointPhase.Ready && this.silenceOf(endpoint.id, now) > silentAfterMs)
+			.filter(endpoint => endpoint.phase === EndpointPhase.Ready && this.measureSilenceMs(endpoint.id, now) > silentAfterMs)
 			.map(endpoint => endpoint.id);
 	}
 
-	/** Endpoints that need not be remembered any more. */
+	/** Lists the endpoints whose retention has ended. */
 	listForgettable(endpoints: readonly FleetEndpoint[], now: number, {forgetGoneAfterMs, forgetSilentAfterMs}: LivenessTimes): string[] {
 		const limits: Partial<Record<EndpointPhase, number>> = {
 			[EndpointPhase.Gone]: forgetGoneAfterMs,
@@ -54,13 +53,13 @@
 			[EndpointPhase.Leaving]: forgetSilentAfterMs,
 		};
 		return endpoints
-			.filter(endpoint => this.silenceOf(endpoint.id, now) > (limits[endpoint.phase] ?? Number.POSITIVE_INFINITY))
+			.filter(endpoint => this.measureSilenceMs(endpoint.id, now) > (limits[endpoint.phase] ?? Number.POSITIVE_INFINITY))
 			.map(endpoint => endpoint.id);
 	}
 
-	private silenceOf(id: string, now: number): number {
-		const heardAt = this.heardAt.get(id) ?? now;
-		this.heardAt.set(id, heardAt);
-		return now - heardAt;
+	private measureSilenceMs(id: string, now: number): number {
+		const lastHeartbeatAt = this.lastHeartbeatAt.get(id) ?? now;
+		this.lastHeartbeatAt.set(id, lastHeartbeatAt);
+		return now - lastHeartbeatAt;
 	}
 }
--- a/packages/mastvalve-fleet-control/src/quarantine-expiry.ts
+++ b/packages/mastvalve-fleet-control/src/quarantine-expiry.ts
@@ -1,20 +1,19 @@
 /**
- * How long requests have been quarantined. Like the times of heartbeats it is not in the log: a new leader gives each quarantine its
- * whole time again.
+ * Measures how long requests have been quarantined. Like the times of heartbeats, this is not in the log: a new leader restarts
+ * the full duration of each quarantine.
  */
 
 import {quarantineMs} from 'mastvalve-fleet';
 
-/** The clock. */
 export class QuarantineExpiry {
 	private readonly since = new Map<string, number>();
 
-	/** Gives every quarantine its whole time. */
+	/** Restarts the duration of every quarantine. */
 	reset(): void {
 		this.since.clear();
 	}
 
-	/** Quarantined requests whose time is over; `now` is monotonic, ms. */
+	/** Lists the quarantined requests whose quarantine has expired; `now` is monotonic, ms. */
 	listExpired(quarantined: readonly string[], now: number): string[] {
 		const known = new Set(quarantined);
 		[...this.since.keys()].filter(fingerprint => !known.has(fingerprint)).forEach(fingerprint => {
