--- a/packages/mastvalve-fleet-control/src/demand-report.ts
+++ b/packages/mastvalve-fleet-control/src/demand-report.ts
@@ -10,7 +10,7 @@
 	requests: Record<string, number>;
 	/** Requests, by model, whose deadline is too short to wait for a load. */
 	urgent: Record<string, number>;
-	/** Measured time in which an idle engine starts a response, by model, ms; only models that the entry has measured. */
+	/** Measured time to first byte of an idle engine, by model, ms; only models that the entry has measured. */
 	headMs: Record<string, number>;
 	/** Models and adapters that requests currently wait for. */
 	wanted: PendingDemand[];
--- a/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-controller.ts
@@ -37,7 +37,7 @@
 	private readonly orders: OrderSequence;
 	private readonly ledger: EngineLedger;
 	private readonly watch: ChangeWatch;
-	private readonly heldSince = new Map<string, number>();
+	private readonly loadedAt = new Map<string, number>();
 	private loading: ExpectedLoad | undefined;
 	private retiring: string | undefined;
 	private queue: Promise<unknown> = Promise.resolve();
@@ -72,7 +72,7 @@
 			id: endpoint.id,
 			failureDomain: endpoint.failureDomain,
 			isReady: this.isReady,
-			hasUnresolvedOrder: this.orders.hasLateOrder,
+			hasUnresolvedOrder: this.orders.hasUnresolvedOrder,
 			holds: this.ledger.listHeldModels(endpoint.holds),
 			loading: (this.loading ?? recorded?.loading)?.model,
 			retiring: this.retiring ?? recorded?.retiring,
@@ -84,8 +84,8 @@
 	}
 
 	/** Returns how long the engine has held a model, ms; infinite if this controller did not load it. */
-	heldFor(model: string): number {
-		return this.options.clock.now() - (this.heldSince.get(model) ?? Number.NEGATIVE_INFINITY);
+	residencyMsOf(model: string): number {
+		return this.options.clock.now() - (this.loadedAt.get(model) ?? Number.NEGATIVE_INFINITY);
 	}
 
 	/** Requests another read of the engine's state, for example after a report that contradicts the record. */
@@ -112,7 +112,7 @@
 			}
 
 			this.resyncUnlessRecorded(confirmation);
-			this.heldSince.set(move.load, this.options.clock.now());
+			this.loadedAt.set(move.load, this.options.clock.now());
 			this.options.onEvent('engine.changed', `${this.options.id} ${isLoaded ? 'holds' : 'may not hold'} ${move.load} from ${move.source}`);
 		}
 
@@ -185,7 +185,7 @@
 
 	/** Whether an order may exceed the capacity together with a late one, which no status of the engine shows. An unload is always safe: once the engine counts it, it refuses the late order. */
 	private conflictsWithLateOrder({kind}: EngineOrder): boolean {
-		return kind === EngineOrderKind.Load && this.orders.hasLateOrder;
+		return kind === EngineOrderKind.Load && this.orders.hasUnresolvedOrder;
 	}
 
 	private get recordedHolds(): HeldModel[] {
@@ -209,7 +209,7 @@
 	private async publish(): Promise<boolean> {
 		this.hasRecorded = true;
 		return this.options.publish({
-			id: this.options.id, adapters: this.ledger.knownAdapters, retiring: this.retiring, loading: this.loading, isOrdering: this.activeMoves > 0 || this.orders.hasLateOrder,
+			id: this.options.id, adapters: this.ledger.knownAdapters, retiring: this.retiring, loading: this.loading, isOrdering: this.activeMoves > 0 || this.orders.hasUnresolvedOrder,
 		});
 	}
 
@@ -225,7 +225,7 @@
 			this.ledger.recordUnloaded(model);
 		}
 
-		this.heldSince.delete(model);
+		this.loadedAt.delete(model);
 		this.retiring = undefined;
 		await this.publish();
 		return isUnloaded;
--- a/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-demand.ts
@@ -13,15 +13,15 @@
  * difficulty. The order of the list predicts demand better than the models that engines hold at the start.
  */
 const initialRatesPerEngine = [1.2, 0.6, 1.3, 1.4, 0.6, 0.5, 0.4, 0.3, 0.3];
-/** Time to the start of a response, assumed until an entry reports a measured one, ms; entries assume the same value. */
-const defaultHeadMs = 125;
+/** Time to first byte, assumed until an entry reports a measured one, ms; entries assume the same value. */
+const defaultTimeToFirstByteMs = 125;
 /** Pending demand of an entry expires when it is not reported again within this time, ms; equals three report intervals. */
 const pendingDemandTtlMs = 3000;
 
 /** Demand for the models of a service at one point in time; rates in requests per second, times in ms. */
 export type DemandOutlook = Pick<ModelPlanInput, 'rateOf' | 'expectedRateOf' | 'observedRateOf' | 'timeToFirstByteMsOf' | 'idleMsOf' | 'urgentIdleMsOf'> & {
 	/** Time since an adapter, given as `model/adapter`, was last requested, ms. */
-	adapterIdleOf: (name: string) => number;
+	adapterIdleMsOf: (name: string) => number;
 };
 
 /** Pending demand of an entry, with its deadline on this instance's monotonic clock, ms. */
@@ -33,9 +33,9 @@
 	private readonly urgent = new ModelDemandEstimate();
 	/** Keyed by `model/adapter`. */
 	private readonly adapters = new ModelDemandEstimate();
-	private readonly step = new DemandShiftDetector();
-	/** Time to the start of a response, by model and entry, ms. */
-	private readonly headTimes = new Map<string, Map<string, number>>();
+	private readonly shiftDetector = new DemandShiftDetector();
+	/** Time to first byte, by model and entry, ms. */
+	private readonly timesToFirstByte = new Map<string, Map<string, number>>();
 	/** Keyed by entry. */
 	private readonly pending = new Map<string, {at: number; items: TimedPendingDemand[]}>();
 
@@ -52,8 +52,8 @@
 			this.urgent.record(model, count, now);
 		});
 		Object.entries(headMs).forEach(([model, ms]) => {
-			const byEntry = this.headTimes.get(model) ?? new Map<string, number>();
-			this.headTimes.set(model, byEntry.set(entry, ms));
+			const byEntry = this.timesToFirstByte.get(model) ?? new Map<string, number>();
+			this.timesToFirstByte.set(model, byEntry.set(entry, ms));
 		});
 		this.pending.set(entry, {at: now, items: wanted.map(item => ({...item, deadlineAt: now + item.remainingMs}))});
 	}
@@ -71,30 +71,30 @@
 		const models = spec.models.map(({name}) => name);
 		const urgent = new Map(models.map(model => [model, this.urgent.rateOf(model, now)]));
 		if (!this.urgent.isEmpty) {
-			this.step.observe([...urgent.values()], now);
+			this.shiftDetector.observe([...urgent.values()], now);
 		}
 
 		const rates = new Map(models.map(model => [model, this.all.rateOf(model, now)]));
-		const shownRates = new Map(models.map(model => [model, this.all.observedRateOf(model, now)]));
-		const anticipate = (known: ReadonlyMap<string, number>): Map<string, number> => forecastRates({
+		const observedRates = new Map(models.map(model => [model, this.all.observedRateOf(model, now)]));
+		const forecast = (known: ReadonlyMap<string, number>): Map<string, number> => forecastRates({
 			models,
 			rateOf: model => known.get(model) ?? 0,
 			urgentRateOf: model => urgent.get(model) ?? 0,
 			isLatencyTolerant: model => this.all.hasRecorded(model) && !this.urgent.hasRecorded(model),
-			shift: this.step.shift,
+			shift: this.shiftDetector.shift,
 		});
-		const headTimes = this.averageHeadTimes();
-		const averageHeadMs = mean([...headTimes.values()]) ?? defaultHeadMs;
-		const expected = anticipate(rates);
-		const shown = anticipate(shownRates);
+		const timesToFirstByte = this.averageTimesToFirstByte();
+		const averageTimeToFirstByteMs = mean([...timesToFirstByte.values()]) ?? defaultTimeToFirstByteMs;
+		const expected = forecast(rates);
+		const observed = forecast(observedRates);
 		return {
 			rateOf: model => rates.get(model) ?? 0,
 			expectedRateOf: model => expected.get(model) ?? 0,
-			observedRateOf: model => shown.get(model) ?? 0,
-			timeToFirstByteMsOf: model => headTimes.get(model) ?? averageHeadMs,
+			observedRateOf: model => observed.get(model) ?? 0,
+			timeToFirstByteMsOf: model => timesToFirstByte.get(model) ?? averageTimeToFirstByteMs,
 			idleMsOf: model => this.all.idleMsOf(model, now),
 			urgentIdleMsOf: model => this.urgent.idleMsOf(model, now),
-			adapterIdleOf: name => this.adapters.idleMsOf(name, now),
+			adapterIdleMsOf: name => this.adapters.idleMsOf(name, now),
 		};
 	}
 
@@ -114,9 +114,9 @@
 			.toSorted((a, b) => a.deadlineAt - b.deadlineAt);
 	}
 
-	/** Averages the time in which an idle engine starts a response over the entries that report one, by model, ms. */
-	private averageHeadTimes(): Map<string, number> {
-		return new Map([...this.headTimes].map(([model, byEntry]) => [model, mean([...byEntry.values()]) ?? defaultHeadMs]));
+	/** Averages the time to first byte of an idle engine over the entries that report one, by model, ms. */
+	private averageTimesToFirstByte(): Map<string, number> {
+		return new Map([...this.timesToFirstByte].map(([model, byEntry]) => [model, mean([...byEntry.values()]) ?? defaultTimeToFirstByteMs]));
 	}
 }
 
--- a/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
+++ b/packages/mastvalve-fleet-control/src/engines/engine-scheduler.ts
@@ -62,8 +62,8 @@
 	/** Time until which planning excludes an engine because nothing listened at its address, ms. */
 	private readonly absentUntil = new Map<string, number>();
 	private readonly controllers = new Map<string, EngineController>();
-	private readonly storeRate = new StoreLoadLimiter();
-	private readonly foreignStoreLoads = new ForeignStoreLoads(this.storeRate);
+	private readonly storeLoadLimiter = new StoreLoadLimiter();
+	private readonly foreignStoreLoads = new ForeignStoreLoads(this.storeLoadLimiter);
 	private claimedTerm: number | undefined;
 	private readonly leaseGuard: OrderLeaseGuard;
 	/** Incremented whenever all controllers are closed. */
@@ -80,7 +80,7 @@
 	constructor(private readonly options: EngineSchedulerOptions) {
 		this.leaseGuard = new OrderLeaseGuard(options.orderLeaseMs + leaseMarginMs);
 		this.demand = new EngineDemand(() => options.clock.now());
-		this.dispatcher = new MoveDispatcher({...options, storeRate: this.storeRate, controllerFor: id => this.controllerFor(id)});
+		this.dispatcher = new MoveDispatcher({...options, storeLoadLimiter: this.storeLoadLimiter, controllerFor: id => this.controllerFor(id)});
 	}
 
 	/** Records the demand that one entry reports, and schedules a round. */
--- a/packages/mastvalve-fleet-control/src/engines/move-dispatcher.ts
+++ b/packages/mastvalve-fleet-control/src/engines/move-dispatcher.ts
@@ -17,7 +17,7 @@
 	clock: Clock;
 	controllerFor: (engine: string) => EngineController;
 	/** Rate of loads from the weight store, by this holder of the order lease and by others. */
-	storeRate: StoreLoadLimiter;
+	storeLoadLimiter: StoreLoadLimiter;
 	/** Window in which loads from the store are counted, ms. */
 	storeWindowMs: number;
 	onEvent: (kind: string, detail: string) => void;
@@ -41,7 +41,7 @@
 	private moveAdapters(spec: EngineSpec, round: PlanningRound, demand: DemandOutlook, pending: readonly TimedPendingDemand[]): void {
 		listPendingAdapters(pending).forEach(({model, adapter}) => {
 			const move = planAdapterMove({
-				spec, engines: round.engines, model, adapter, idleMsOf: demand.adapterIdleOf,
+				spec, engines: round.engines, model, adapter, idleMsOf: demand.adapterIdleMsOf,
 			});
 			if (move) {
 				this.startAdapterMove(spec, round, move);
@@ -84,8 +84,8 @@
 			spec,
 			engines,
 			pending: countWaitingByModel(pending),
-			residencyMsOf: (id, model) => this.options.controllerFor(id).heldFor(model),
-			availableStoreLoads: this.options.storeRate.countAvailable(this.storeBounds(spec), this.options.clock.now()),
+			residencyMsOf: (id, model) => this.options.controllerFor(id).residencyMsOf(model),
+			availableStoreLoads: this.options.storeLoadLimiter.countAvailable(this.storeLoadLimits(spec), this.options.clock.now()),
 		});
 	}
 
@@ -94,7 +94,7 @@
 		const expected: Record<WeightSource, number> = {
 			[WeightSource.Memory]: model?.memoryLoadMs ?? 0, [WeightSource.Disk]: model?.diskLoadMs ?? 0, [WeightSource.Store]: model?.storeLoadMs ?? 0,
 		};
-		const recordBegun = move.source === WeightSource.Store ? this.options.storeRate.reserve() : undefined;
+		const recordBegun = move.source === WeightSource.Store ? this.options.storeLoadLimiter.reserve() : undefined;
 
 		this.options.onEvent('engine.moves', `${move.engine} loads ${move.load} from ${move.source}${move.evict === undefined ? '' : ` in place of ${move.evict}`}; ${rate.toFixed(2)} requests/s`);
 		void this.options.controllerFor(move.engine).moveModel(move, expected[move.source], () => {
@@ -102,7 +102,7 @@
 		});
 	}
 
-	private storeBounds(spec: EngineSpec): StoreLoadLimits {
+	private storeLoadLimits(spec: EngineSpec): StoreLoadLimits {
 		return {windowMs: this.options.storeWindowMs, loadsPerSecond: spec.storeLoadsPerSecond};
 	}
 }
--- a/packages/mastvalve-fleet-control/src/engines/order-sequence.ts
+++ b/packages/mastvalve-fleet-control/src/engines/order-sequence.ts
@@ -68,7 +68,7 @@
 	}
 
 	/** Whether an abandoned order may still be executed, or may have been executed unnoticed. */
-	get hasLateOrder(): boolean {
+	get hasUnresolvedOrder(): boolean {
 		return this.lateOrderUntil !== undefined;
 	}
 
--- a/packages/mastvalve-fleet-control/src/freshness-tracker.ts
+++ b/packages/mastvalve-fleet-control/src/freshness-tracker.ts
@@ -19,7 +19,7 @@
 
 /** Times are monotonic, ms. */
 export class FreshnessTracker {
-	private readonly proven = new ConfirmedTime();
+	private readonly confirmed = new ConfirmedTime();
 	private readonly suspension: SuspensionWatch;
 
 	constructor(private readonly options: FreshnessTrackerOptions) {
@@ -33,13 +33,13 @@
 			return this.options.clock.now();
 		}
 
-		return this.proven.latestAt === Number.NEGATIVE_INFINITY ? undefined : this.proven.latestAt;
+		return this.confirmed.latestAt === Number.NEGATIVE_INFINITY ? undefined : this.confirmed.latestAt;
 	}
 
 	/** Records a confirmed read from the leader; `queriedAt` is the start of the query. */
 	recordConfirmed(queriedAt: number): void {
 		this.invalidateAfterSuspension();
-		this.proven.record(queriedAt, queriedAt);
+		this.confirmed.record(queriedAt, queriedAt);
 	}
 
 	/** Queries the leader periodically until the signal aborts. */
@@ -57,7 +57,7 @@
 
 	private invalidateAfterSuspension(): void {
 		if (this.suspension.hasJumped()) {
-			this.proven.invalidate(this.options.clock.now());
+			this.confirmed.invalidate(this.options.clock.now());
 		}
 	}
 }
--- a/packages/mastvalve-fleet-control/src/limit-service.ts
+++ b/packages/mastvalve-fleet-control/src/limit-service.ts
@@ -81,8 +81,8 @@
 			};
 		}
 
-		words.forEach(word => {
-			endpoints.recordReport(word, now);
+		words.forEach(report => {
+			endpoints.recordReport(report, now);
 		});
 		unused.forEach(endpoint => {
 			endpoints.returnPermit(endpoint);
