--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
@@ -15,7 +15,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {VirtualTime} from '../../../../features/support/virtual-time.js';
 import {
-	EndpointBoard, EndpointLimiter, LimitClient, type HandoverOutcome, type HandoverWish,
+	EndpointTracker, EndpointLimiter, LimitClient, type HandoverOutcome, type HandoverWish,
 } from '../../src/index.js';
 import {createEndpoint} from './running-gateway.js';
 
@@ -65,7 +65,7 @@
 const patienceMs = 4000;
 const maxStayMs = 2000;
 
-type Entry = {isCut: boolean; board: EndpointBoard; limiter: EndpointLimiter; view: Map<string, FleetEndpoint>; buckets: Map<string, TokenBucket>; ending: AbortController; told: Map<string, {namedAt: number; at: number}>};
+type Entry = {isCut: boolean; board: EndpointTracker; limiter: EndpointLimiter; view: Map<string, FleetEndpoint>; buckets: Map<string, TokenBucket>; ending: AbortController; told: Map<string, {namedAt: number; at: number}>};
 /** `isTold` says whether its entry had passed on an answer that names the present limit, long enough before. */
 type Arrival = {at: number; urgency: number; isTold: boolean};
 type VirtualEndpoint = {id: string; word: string | undefined; namedAt: number; arrivals: Arrival[]};
@@ -191,7 +191,7 @@
 	private createEntry(index: number): Entry {
 		const now = (): number => this.time.clock.now();
 		const ending = new AbortController();
-		const board = new EndpointBoard(now);
+		const board = new EndpointTracker(now);
 		const view = new Map(this.recorded);
 		const client = new LimitClient({
 			entry: `entry ${index} ${this.random()}`,
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
@@ -19,7 +19,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {findFreePorts} from '../../../../features/support/free-ports.js';
 import {
-	AccessChecker, CapacityWaiters, CrashWatch, EndpointBoard, FieldOwner, FleetView, EndpointLimiter, Gateway, HeadTimes, LimitClient, ModelDemand, probeListener, RequestQuarantine, RetryAllowance, UpstreamAgent, type Dialect,
+	AccessChecker, CapacityWaiters, CrashWatch, EndpointTracker, FieldOwner, FleetView, EndpointLimiter, Gateway, FirstByteTimes, LimitClient, ModelDemand, probeListener, RequestQuarantine, ServiceRetryBudget, UpstreamAgent, type Dialect,
 } from '../../src/index.js';
 
 const textOf = (value: string | string[] | undefined): string | undefined => (Array.isArray(value) ? value[0] : value);
@@ -89,7 +89,7 @@
 	/** The longest time that a call took, ms. */
 	longestMs = 0;
 	readonly gateway: Gateway;
-	readonly headTimes = new HeadTimes();
+	readonly headTimes = new FirstByteTimes();
 	readonly demand = new ModelDemand('entry', () => systemClock.now(), () => undefined, this.headTimes);
 	private readonly agent = new Agent({keepAlive: true});
 	private readonly upstream = new UpstreamAgent();
@@ -102,7 +102,7 @@
 		const now = (): number => systemClock.now();
 		const quarantine = new RequestQuarantine(this.view, now);
 		const waiters = new CapacityWaiters(systemClock);
-		const board = new EndpointBoard(now, () => {
+		const board = new EndpointTracker(now, () => {
 			waiters.wakeAll();
 		});
 		const limits = new LimitClient({
@@ -115,7 +115,7 @@
 			random: createRandom(1),
 			dialect: testDialect,
 			view: this.view,
-			board,
+			tracker: board,
 			waiters,
 			agent: this.upstream,
 			access: this.access,
@@ -123,11 +123,11 @@
 			limiter: new EndpointLimiter({
 				view: this.view, board, client: limits, now,
 			}),
-			allowance: new RetryAllowance({ratio: 1, slack: 5, windowMs: 10_000}, now, () => 1),
-			headTimes: this.headTimes,
+			retryBudget: new ServiceRetryBudget({ratio: 1, slack: 5, windowMs: 10_000}, now, () => 1),
+			firstByteTimes: this.headTimes,
 			demand: this.demand,
 			quarantine,
-			crashes: new CrashWatch({
+			crashDetector: new CrashWatch({
 				now,
 				probe: probeListener,
 				isAlive: () => true,
--- a/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
@@ -10,7 +10,7 @@
 import {AdmissionKind} from 'mastvalve-limits';
 import {systemClock, waitFor} from 'mastvalve-utils';
 import {
-	CapacityWaiters, EndpointBoard, FleetView, forgetEnded, HeadTimes, ModelDemand, type WaiterHandle,
+	CapacityWaiters, EndpointTracker, FleetView, forgetGoneEndpoints, FirstByteTimes, ModelDemand, type WaiterHandle,
 } from '../src/index.js';
 import type {CallResult, EntriesAndControl} from './__fixtures__/entries-and-control.js';
 import type {CountedAnswer, LimitedEndpoints} from './__fixtures__/limited-endpoints.js';
@@ -21,7 +21,7 @@
 	limited: LimitedEndpoints;
 	results: CallResult[];
 	view: FleetView;
-	board: EndpointBoard;
+	board: EndpointTracker;
 	waiting: WaiterHandle[];
 	/** Urgencies in the order in which requests have looked. */
 	looked: number[];
@@ -106,8 +106,8 @@
 
 Given('a view of 2 endpoints, one of which has asked for backoff', function (this: BackoffWorld) {
 	this.view = new FleetView(() => 0);
-	this.board = new EndpointBoard(() => 0);
-	forgetEnded(this.view, this.board, new ModelDemand('entry', () => 0, () => undefined, new HeadTimes()));
+	this.board = new EndpointTracker(() => 0);
+	forgetGoneEndpoints(this.view, this.board, new ModelDemand('entry', () => 0, () => undefined, new FirstByteTimes()));
 	this.view.apply(createUpdate(1, ['a', 'b'], true));
 	this.board.recordBackoff('b', msPerSecond, 0);
 });
@@ -117,7 +117,7 @@
 });
 
 Then('the endpoint is still backed off from', function (this: BackoffWorld) {
-	assert.equal(this.board.find('b').backoff.checkAdmission(1).kind, AdmissionKind.At);
+	assert.equal(this.board.getOrCreate('b').backoff.checkAdmission(1).kind, AdmissionKind.At);
 });
 
 Given('{int} requests that wait for capacity, every tenth of them urgent', function (this: BackoffWorld, count: number) {
--- a/packages/mastvalve-gateway/__tests__/gateway.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/gateway.steps.ts
@@ -11,7 +11,7 @@
 import {assumeType, waitFor} from 'mastvalve-utils';
 import {waitUntil} from '../../../features/support/conditions.js';
 import {
-	chooseEndpoint, EndpointBoard, HeadTimes, RetryAllowance,
+	chooseEndpoint, EndpointTracker, FirstByteTimes, ServiceRetryBudget,
 } from '../src/index.js';
 import {createEndpoint, RunningGateway, type Received} from './__fixtures__/running-gateway.js';
 import {
@@ -350,7 +350,7 @@
 });
 
 Then('control was told which endpoint is absent', function (this: GatewayWorld) {
-	assert.deepEqual(this.gatewayRun.demand.take().absent, ['e1']);
+	assert.deepEqual(this.gatewayRun.demand.takeReport().absent, ['e1']);
 });
 
 When('a caller\'s request is held for a load that is then given up', async function (this: GatewayWorld) {
@@ -406,20 +406,20 @@
 	assert.equal(this.received.every(received => received.status === status), true);
 });
 
-type LearningWorld = World & {headTimes: HeadTimes; board: EndpointBoard; now: number};
+type LearningWorld = World & {headTimes: FirstByteTimes; board: EndpointTracker; now: number};
 
 /** Requests that an estimate gets, and the part of them that something else delays. */
 const learningRequests = 60;
 
 Given('engines that begin an answer in {int} ms, and {int} in {int} answers later by {int} ms', function (this: LearningWorld, headMs: number, late: number, outOf: number, laterMs: number) {
-	this.headTimes = new HeadTimes();
+	this.headTimes = new FirstByteTimes();
 	Array.from({length: learningRequests}).forEach((_, index) => {
 		this.headTimes.record('m', 1000, headMs + (index % outOf < late ? laterMs : 0));
 	});
 });
 
 Given('engines that read {int} tokens in a ms, and prompts of which {int} in {int} have {int} tokens and the others {int}', function (this: LearningWorld, rate: number, typical: number, outOf: number, tokens: number, others: number) {
-	this.headTimes = new HeadTimes();
+	this.headTimes = new FirstByteTimes();
 	Array.from({length: learningRequests * 10}).forEach((_, index) => {
 		const prompt = index % outOf < typical ? tokens : others;
 		this.headTimes.record('m', prompt, prompt / rate);
@@ -427,21 +427,21 @@
 });
 
 Then('an entry expects about {int} ms after {int} requests', function (this: LearningWorld, headMs: number, _requests: number) {
-	const learned = this.headTimes.headMsOf('m');
+	const learned = this.headTimes.getFirstByteMs('m');
 	assert.ok(learned > headMs * 0.6 && learned < headMs * 1.6, `${learned}`);
 });
 
 Given('two engines with one load, of which one began its last answers {int} ms late', function (this: LearningWorld, lateMs: number) {
 	this.now = 0;
-	this.board = new EndpointBoard(() => this.now);
-	this.board.recordDelay('late', lateMs);
-	this.board.recordDelay('late', lateMs);
+	this.board = new EndpointTracker(() => this.now);
+	this.board.recordStartDelay('late', lateMs);
+	this.board.recordStartDelay('late', lateMs);
 });
 
 /** Chooses between the two engines; `random` is added to what each of them costs, in turn. */
 const chooseEngine = ({board, now}: LearningWorld, random: number[]): string | undefined =>
 	chooseEndpoint({
-		endpoints: ['late', 'other'].map(id => createEndpoint(id)), model: undefined, adapter: undefined, failureDomain: 'a', tried: new Set(), askAgainAt: new Map(), isLimited: () => false, limitedProbeMs: Number.POSITIVE_INFINITY, now, knowledgeOf: id => board.find(id), random: () => random.shift() ?? 0, headMs: 100, msPerToken: 0.1,
+		endpoints: ['late', 'other'].map(id => createEndpoint(id)), model: undefined, adapter: undefined, failureDomain: 'a', attemptedIds: new Set(), permitRetryAt: new Map(), isLimited: () => false, limitedProbeMs: Number.POSITIVE_INFINITY, now, getObservations: id => board.getOrCreate(id), random: () => random.shift() ?? 0, firstByteMs: 100, prefillMsPerToken: 0.1,
 	})?.id;
 
 Then('the other one is chosen, and either of them {int} ms later', function (this: LearningWorld, laterMs: number) {
@@ -463,7 +463,7 @@
 
 When('{int} entries get a request each and every one of them fails', function (this: RetryWorld, entries: number) {
 	const made = Array.from({length: entries}, () => {
-		const allowance = new RetryAllowance({
+		const allowance = new ServiceRetryBudget({
 			ratio: 0.2, slack: this.allowedRetries, windowMs: retryWindowMs,
 		}, () => 0, () => entries);
 		allowance.recordRequest('s');
--- a/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
+++ b/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
@@ -47,7 +47,7 @@
 		}
 
 		const answer = await this.client.call<DemandResponse>({
-			address, path: '/demand', body: demand.take(), silenceMs, signal,
+			address, path: '/demand', body: demand.takeReport(), silenceMs, signal,
 		});
 		this.entries = answer.isOk() ? answer.value.entries : this.entries;
 		return answer.isOk();
--- a/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
+++ b/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
@@ -8,14 +8,14 @@
 	LimitHeaderKind, type LimitTimestamp, type PermitClaim, type LimitHeader,
 } from 'mastvalve-limits';
 import type {FleetView} from '../fleet/fleet-view.js';
-import type {EndpointBoard} from '../routing/endpoint-board.js';
+import type {EndpointTracker} from '../routing/endpoint-tracker.js';
 import type {HandoverOutcome} from './limit-batch.js';
 import type {LimitClient} from './limit-client.js';
 
 /** What it is made from. */
 export type EndpointLimiterOptions = {
 	view: Pick<FleetView, 'find'>;
-	board: EndpointBoard;
+	board: EndpointTracker;
 	client: LimitClient;
 	/** Monotonic, ms. */
 	now: () => number;
@@ -72,7 +72,7 @@
 		if (outcome.endpoint === undefined) {
 			const at = this.options.now() + outcome.waitMs;
 			endpoints.forEach(({id}) => {
-				this.options.board.recordPermit(id, at);
+				this.options.board.recordNextPermit(id, at);
 			});
 		}
 
--- a/packages/mastvalve-gateway/src/requests/handle-answer.ts
+++ b/packages/mastvalve-gateway/src/requests/handle-answer.ts
@@ -3,7 +3,7 @@
  */
 
 import {RetryAfterKind} from 'mastvalve-limits';
-import type {EndpointUse} from '../routing/endpoint-board.js';
+import type {EndpointRequest} from '../routing/endpoint-tracker.js';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {ExchangeKind, ExchangeOutcome} from '../upstream/exchange.js';
 import {isRepeatable, type CallerRequest} from './caller-request.js';
@@ -32,13 +32,13 @@
 		headMs: Math.round(headAt - request.arrivedAt),
 		totalMs: Math.round(core.clock.now() - request.arrivedAt),
 		sent: progress.sentCount,
-		load: core.board.find(endpoint).load,
+		load: core.tracker.getOrCreate(endpoint).load,
 		revision: core.view.revision,
 	});
 };
 
 /** The head of an answer, and the use of the endpoint that has sent it. */
-export type ReceivedAnswer = ClaimedEndpoint & {outcome: Extract<ExchangeOutcome, {kind: ExchangeKind.Answered}>; use: EndpointUse};
+export type ReceivedAnswer = ClaimedEndpoint & {outcome: Extract<ExchangeOutcome, {kind: ExchangeKind.Answered}>; use: EndpointRequest};
 
 /** Takes an answer's head, and its body if it is one for the caller; true when the request is over. */
 export const handleAnswer = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, {endpoint, grantedAt, outcome, use}: ReceivedAnswer): Promise<boolean> => {
@@ -63,7 +63,7 @@
 	if (isForOtherRequest || (isRefusal && !isRepeatable(request.route))) {
 		cancel();
 		progress.mayHaveRun = true;
-		core.board.recordFailure(endpoint.id);
+		core.tracker.recordFailure(endpoint.id);
 		core.log('attempt.failed', {
 			request: request.requestId, fingerprint: request.fingerprint, endpoint: endpoint.id, status, reason: isForOtherRequest ? `the answer belongs to ${head.requestId}` : 'a refusal without a promise',
 		});
@@ -71,12 +71,12 @@
 	}
 
 	if (status >= minServerErrorStatus) {
-		core.board.recordFailure(endpoint.id);
+		core.tracker.recordFailure(endpoint.id);
 	} else {
-		core.board.recordSuccess(endpoint.id);
+		core.tracker.recordSuccess(endpoint.id);
 	}
 
-	core.board.recordByte(endpoint.id);
+	core.tracker.recordByte(endpoint.id);
 	progress.mayHaveRun = true;
 	const mayRetryFailure = status >= minServerErrorStatus && !reply.hasBegun && isRepeatable(request.route) && progress.sentCount < request.route.maxAttempts;
 	if (mayRetryFailure && hasTimeForAttempt(core, request)) {
@@ -84,9 +84,9 @@
 		return false;
 	}
 
-	res.once('data', use.read);
+	res.once('data', use.recordFirstByte);
 	res.on('data', () => {
-		core.board.recordByte(endpoint.id);
+		core.tracker.recordByte(endpoint.id);
 	});
 	if (reply.hasBegun && status !== okStatus) {
 		cancel();
@@ -117,8 +117,8 @@
 	}
 
 	progress.streamPosition?.dropPartialEvent();
-	core.crashes.suspect(endpoint, request.fingerprint);
-	core.board.recordFailure(endpoint.id);
+	core.crashDetector.suspect(endpoint, request.fingerprint);
+	core.tracker.recordFailure(endpoint.id);
 	core.log('answer.broken', {
 		request: request.requestId, fingerprint: request.fingerprint, endpoint: endpoint.id, status, lastEvent: progress.streamPosition?.lastEventId,
 	});
--- a/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
@@ -4,7 +4,7 @@
 
 import type {Workspace} from 'mastvalve-access';
 import {isGranted} from '../access/access-checker.js';
-import type {EndpointUse} from '../routing/endpoint-board.js';
+import type {EndpointRequest} from '../routing/endpoint-tracker.js';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
 import {claimEndpoint, type ClaimedEndpoint} from './claim-endpoint.js';
@@ -13,12 +13,12 @@
 import type {Reply} from './reply.js';
 
 /** An attempt that may be made at once, and counts at its endpoint already. */
-export type PreparedAttempt = ClaimedEndpoint & {workspace: Workspace | undefined; use: EndpointUse};
+export type PreparedAttempt = ClaimedEndpoint & {workspace: Workspace | undefined; use: EndpointRequest};
 
 /** An endpoint that was chosen may have asked for backoff or begun to leave since then, or others may have used its capacity. */
 const claimAdmittingEndpoint = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<Awaited<ReturnType<typeof claimEndpoint>>> => {
 	let claimed = await claimEndpoint(core, request, progress);
-	while (!('reason' in claimed) && !core.board.admits(claimed.endpoint.id)) {
+	while (!('reason' in claimed) && !core.tracker.canSend(claimed.endpoint.id)) {
 		core.limiter.giveBack(claimed.endpoint, claimed.grantedAt);
 		// One endpoint after the other.
 		// eslint-disable-next-line no-await-in-loop
@@ -41,7 +41,7 @@
 		return undefined;
 	}
 
-	return {...claimed, workspace: workspace.current, use: core.board.begin(claimed.endpoint.id, request.caller.promptTokens)};
+	return {...claimed, workspace: workspace.current, use: core.tracker.beginRequest(claimed.endpoint.id, request.caller.promptTokens)};
 };
 
 /** Whose request it is, if it may be handed over; otherwise its caller has been told. */
@@ -56,7 +56,7 @@
 		return undefined;
 	}
 
-	if (progress.sentCount > 0 && !core.allowance.takeRetry(request.service)) {
+	if (progress.sentCount > 0 && !core.retryBudget.takeRetry(request.service)) {
 		failRequest(core, request, reply, progress, {reason: 'no retries are left'});
 		return undefined;
 	}
--- a/packages/mastvalve-gateway/src/requests/record-answer-head.ts
+++ b/packages/mastvalve-gateway/src/requests/record-answer-head.ts
@@ -6,7 +6,7 @@
 import {LimitHeaderKind, RetryAfterKind} from 'mastvalve-limits';
 import type {AnswerHeaders} from '../dialect.js';
 import {formatModel} from '../routing/model-demand.js';
-import type {EndpointUse} from '../routing/endpoint-board.js';
+import type {EndpointRequest} from '../routing/endpoint-tracker.js';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
 import type {ClaimedEndpoint} from './claim-endpoint.js';
@@ -15,7 +15,7 @@
 
 /** One line when the word of an endpoint on its limit is another than that of its answer before. */
 const logLimitChange = (core: GatewayCore, {requestId}: CallerRequest, endpoint: string, {limit}: AnswerHeaders): void => {
-	if (core.board.recordLimitWord(endpoint, limit)) {
+	if (core.tracker.recordAnnouncedLimit(endpoint, limit)) {
 		core.log('endpoint.limit-told', {
 			request: requestId, endpoint, word: limit.kind, perSecond: limit.kind === LimitHeaderKind.Rate ? limit.perSecond : undefined,
 		});
@@ -33,11 +33,11 @@
 	}
 
 	if (isDifferentEndpoint(endpoint, head)) {
-		core.board.recordReplaced(endpoint.id);
+		core.tracker.recordReplaced(endpoint.id);
 		return;
 	}
 
-	core.board.recordLack(endpoint.id, formatModel(caller.model ?? '', caller.adapter), endpoint.revision);
+	core.tracker.recordMissingModel(endpoint.id, formatModel(caller.model ?? '', caller.adapter), endpoint.revision);
 	core.demand.recordMisdirected(endpoint.id);
 };
 
@@ -47,25 +47,25 @@
 		return;
 	}
 
-	core.board.recordBackoff(id, retryAfter.delayMs, core.random());
+	core.tracker.recordBackoff(id, retryAfter.delayMs, core.random());
 	core.observer.recordBackoff();
 	core.log('endpoint.backoff', {request: requestId, endpoint: id, delayMs: retryAfter.delayMs});
 };
 
 /** Control is told, since not all entries meet the endpoint, and heartbeats may go on as before. */
 const recordLeaving = (core: GatewayCore, {requestId}: CallerRequest, {id}: FleetEndpoint, {isLeaving}: AnswerHeaders): void => {
-	if (isLeaving && core.board.recordLeaving(id)) {
+	if (isLeaving && core.tracker.recordLeaving(id)) {
 		core.demand.recordLeaving(id);
 		core.log('endpoint.leaving-told', {request: requestId, endpoint: id});
 	}
 };
 
 /** A request that was answered: whom it went to, and its use of that endpoint. */
-export type AnswerSource = ClaimedEndpoint & {use: EndpointUse; status: number};
+export type AnswerSource = ClaimedEndpoint & {use: EndpointRequest; status: number};
 
 /** Learns from a head. One that belongs to another request, or comes from another endpoint, says nothing of this one. */
 export const recordAnswerHead = (core: GatewayCore, request: CallerRequest, {endpoint, grantedAt, use, status}: AnswerSource, head: AnswerHeaders): void => {
-	core.board.recordLoad(endpoint.id, head.load);
+	core.tracker.recordLoad(endpoint.id, head.load);
 	const isForOtherRequest = head.requestId !== undefined && head.requestId !== request.requestId;
 	if (!isForOtherRequest && !isDifferentEndpoint(endpoint, head)) {
 		logLimitChange(core, request, endpoint.id, head);
@@ -74,5 +74,5 @@
 		recordLeaving(core, request, endpoint, head);
 	}
 
-	use.answer(!head.isNotRun && status !== unavailableStatus);
+	use.recordResponse(!head.isNotRun && status !== unavailableStatus);
 };
--- a/packages/mastvalve-gateway/src/requests/select-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/select-endpoint.ts
@@ -4,7 +4,7 @@
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
 import {
-	chooseEndpoint, hasUnlimited, listExpectedCapacity, listLimited, type EndpointChoiceInput, type ExpectedCapacity,
+	chooseEndpoint, hasUnlimitedEndpoint, listExpectedCapacity, listLimitedEndpoints, type EndpointChoiceInput, type ExpectedCapacity,
 } from '../routing/choose-endpoint.js';
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
@@ -22,15 +22,15 @@
 	model: request.caller.model,
 	adapter: request.caller.adapter,
 	failureDomain: core.failureDomain,
-	tried,
-	askAgainAt,
+	attemptedIds: tried,
+	permitRetryAt: askAgainAt,
 	now: core.clock.now(),
-	knowledgeOf: id => core.board.find(id),
+	getObservations: id => core.tracker.getOrCreate(id),
 	isLimited: endpoint => core.limiter.limitOf(endpoint) !== undefined,
 	limitedProbeMs: core.limiter.probePauseMs,
 	random: core.random,
-	headMs: core.headTimes.headMsOf(request.caller.model ?? ''),
-	msPerToken: core.headTimes.msPerToken(request.caller.model ?? ''),
+	firstByteMs: core.firstByteTimes.getFirstByteMs(request.caller.model ?? ''),
+	prefillMsPerToken: core.firstByteTimes.getPrefillMsPerToken(request.caller.model ?? ''),
 });
 
 /** Chooses among what is here now. */
@@ -39,11 +39,11 @@
 
 /** Limited endpoints that may be asked for a permit now, the best first. */
 export const listLimitedCandidates = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): FleetEndpoint[] =>
-	listLimited(readChoiceInput(core, request, tries));
+	listLimitedEndpoints(readChoiceInput(core, request, tries));
 
 /** Whether an endpoint without a limit may get the request now. */
 export const hasUnlimitedCandidate = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): boolean =>
-	hasUnlimited(readChoiceInput(core, request, tries));
+	hasUnlimitedEndpoint(readChoiceInput(core, request, tries));
 
 /** What is expected of the endpoints that could take the request. */
 export const listCapacityForecasts = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): ExpectedCapacity[] =>
--- a/packages/mastvalve-gateway/src/requests/serve-request.ts
+++ b/packages/mastvalve-gateway/src/requests/serve-request.ts
@@ -25,7 +25,7 @@
 		return false;
 	}
 
-	core.allowance.recordRequest(request.service);
+	core.retryBudget.recordRequest(request.service);
 	if (caller.model !== undefined) {
 		core.demand.recordRequest(caller.model, caller.adapter, hasTimeForSwap(core, request, caller.model));
 	}
@@ -71,13 +71,13 @@
 	}
 
 	if (outcome.kind === ExchangeKind.Lost) {
-		core.crashes.suspect(endpoint, request.fingerprint);
+		core.crashDetector.suspect(endpoint, request.fingerprint);
 	}
 
-	core.board.recordFailure(endpoint.id);
+	core.tracker.recordFailure(endpoint.id);
 	if (outcome.isRefused) {
-		core.board.recordAbsent(endpoint.id);
-		core.demand.recordAbsent(endpoint.id);
+		core.tracker.recordNotListening(endpoint.id);
+		core.demand.recordNotListening(endpoint.id);
 	}
 
 	core.log('attempt.failed', {
@@ -92,6 +92,6 @@
 		return;
 	}
 
-	core.headTimes.record(caller.model, caller.promptTokens, headMs);
-	core.board.recordDelay(id, headMs - (core.headTimes.msPerToken(caller.model) * caller.promptTokens));
+	core.firstByteTimes.record(caller.model, caller.promptTokens, headMs);
+	core.tracker.recordStartDelay(id, headMs - (core.firstByteTimes.getPrefillMsPerToken(caller.model) * caller.promptTokens));
 };
--- a/packages/mastvalve-gateway/src/requests/wait-for-capacity.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-capacity.ts
@@ -47,7 +47,7 @@
 
 /** Waits until an endpoint may take the request, or says why none will. */
 export const waitForCapacity = async (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): Promise<FleetEndpoint | NoEndpoint> => {
-	const {clock, view, waiters, demand, onDrain, log, observer} = core;
+	const {clock, view, waiters, demand, drainListeners, log, observer} = core;
 	const {caller: {model, adapter}, signal} = request;
 	const startedAt = clock.now();
 	const refuse = (expected: readonly ExpectedCapacity[]): NoEndpoint => {
@@ -60,13 +60,13 @@
 		return refuse(first);
 	}
 
-	const endDemand = model === undefined ? undefined : demand.wait(request.service, model, adapter, request.deadlineAt);
+	const endDemand = model === undefined ? undefined : demand.beginWait(request.service, model, adapter, request.deadlineAt);
 	return new Promise(resolve => {
 		const settle = (outcome: FleetEndpoint | NoEndpoint): void => {
 			endDemand?.();
 			unsubscribeView();
 			waiter.remove();
-			onDrain.delete(stopWaiting);
+			drainListeners.delete(stopWaiting);
 			signal.removeEventListener('abort', stopWaiting);
 			log('request.waited-for-capacity', {
 				request: request.requestId, waitedMs: Math.round(clock.now() - startedAt), outcome: 'id' in outcome ? outcome.id : outcome.reason, revision: view.revision,
@@ -93,7 +93,7 @@
 
 		const unsubscribeView = view.subscribe(recheck);
 		const waiter = waiters.add(rankRequest(core, request), recheck);
-		onDrain.add(stopWaiting);
+		drainListeners.add(stopWaiting);
 		signal.addEventListener('abort', stopWaiting, {once: true});
 		recheck();
 	});
--- a/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
@@ -101,7 +101,7 @@
 			endDemand();
 			unsubscribe();
 			clearTimeout(timer);
-			core.onDrain.delete(stopWaiting);
+			core.drainListeners.delete(stopWaiting);
 			request.signal.removeEventListener('abort', stopWaiting);
 			core.log('request.waited', {
 				request: request.requestId, model, adapter, waitedMs: Math.round(core.clock.now() - startedAt), outcome: 'id' in outcome ? outcome.id : outcome.reason, revision: core.view.revision,
@@ -144,9 +144,9 @@
 				settle(endpoint);
 			}
 		});
-		core.onDrain.add(stopWaiting);
+		core.drainListeners.add(stopWaiting);
 		request.signal.addEventListener('abort', stopWaiting, {once: true});
-		const endDemand = core.demand.wait(request.service, model, adapter, computeWaitDeadline(request));
+		const endDemand = core.demand.beginWait(request.service, model, adapter, computeWaitDeadline(request));
 		let timer = setTimeout(decide, request.route.objectiveMs * decisionShare);
 		core.log('request.waits', {
 			request: request.requestId, model, adapter, revision: core.view.revision,
--- a/packages/mastvalve-gateway/src/routing/model-demand.ts
+++ b/packages/mastvalve-gateway/src/routing/model-demand.ts
@@ -3,7 +3,7 @@
  */
 
 import type {DemandReport, PendingDemand} from 'mastvalve-fleet-control';
-import type {HeadTimes} from './head-times.js';
+import type {FirstByteTimes} from './first-byte-times.js';
 
 type Waiting = {service: string; model: string; adapter: string | undefined; deadlines: number[]};
 
@@ -15,17 +15,17 @@
 	private requests: Record<string, number> = {};
 	private urgent: Record<string, number> = {};
 	private suspects = new Set<string>();
-	private absent = new Set<string>();
+	private notListening = new Set<string>();
 	private leaving = new Set<string>();
 	private readonly waiting = new Map<string, Waiting>();
 
-	constructor(private readonly entry: string, private readonly now: () => number, private readonly onUrgent: () => void, private readonly headTimes: HeadTimes) {}
+	constructor(private readonly entry: string, private readonly now: () => number, private readonly onReportDue: () => void, private readonly headTimes: FirstByteTimes) {}
 
 	/** A request came; whether its caller has time for a change of models. */
-	recordRequest(model: string, adapter: string | undefined, hasTime: boolean): void {
+	recordRequest(model: string, adapter: string | undefined, canWaitForLoad: boolean): void {
 		const name = formatModel(model, adapter);
 		this.requests[name] = (this.requests[name] ?? 0) + 1;
-		if (!hasTime) {
+		if (!canWaitForLoad) {
 			this.urgent[model] = (this.urgent[model] ?? 0) + 1;
 		}
 	}
@@ -33,14 +33,14 @@
 	/** An endpoint refused a request for a model or adapter which it was thought to hold. */
 	recordMisdirected(endpointId: string): void {
 		this.suspects.add(endpointId);
-		this.onUrgent();
+		this.onReportDue();
 	}
 
 	/** Nobody listens at the address of an endpoint. */
-	recordAbsent(endpointId: string): void {
-		if (!this.absent.has(endpointId)) {
-			this.absent.add(endpointId);
-			this.onUrgent();
+	recordNotListening(endpointId: string): void {
+		if (!this.notListening.has(endpointId)) {
+			this.notListening.add(endpointId);
+			this.onReportDue();
 		}
 	}
 
@@ -48,17 +48,17 @@
 	recordLeaving(endpointId: string): void {
 		if (!this.leaving.has(endpointId)) {
 			this.leaving.add(endpointId);
-			this.onUrgent();
+			this.onReportDue();
 		}
 	}
 
 	/** Forgets leaving endpoints of which control knows it. */
-	keepLeaving(isUnknownToControl: (id: string) => boolean): void {
+	retainLeaving(isUnknownToControl: (id: string) => boolean): void {
 		this.leaving = new Set([...this.leaving].filter(id => isUnknownToControl(id)));
 	}
 
 	/** A request waits for what no endpoint holds; the result ends that. */
-	wait(service: string, model: string, adapter: string | undefined, deadlineAt: number): () => void {
+	beginWait(service: string, model: string, adapter: string | undefined, deadlineAt: number): () => void {
 		const key = `${service} ${formatModel(model, adapter)}`;
 		const waiting = this.waiting.get(key) ?? {
 			service, model, adapter, deadlines: [],
@@ -66,7 +66,7 @@
 		this.waiting.set(key, waiting);
 		waiting.deadlines.push(deadlineAt);
 		if (waiting.deadlines.length === 1) {
-			this.onUrgent();
+			this.onReportDue();
 		}
 
 		return () => {
@@ -78,12 +78,12 @@
 	}
 
 	/** The demand since the last call. */
-	take(): DemandReport {
-		const {requests, urgent, suspects, absent} = this;
+	takeReport(): DemandReport {
+		const {requests, urgent, suspects, notListening} = this;
 		this.requests = {};
 		this.urgent = {};
 		this.suspects = new Set();
-		this.absent = new Set();
+		this.notListening = new Set();
 		const now = this.now();
 		return {
 			entry: this.entry,
@@ -91,7 +91,7 @@
 			urgent,
 			headMs: this.headTimes.list(),
 			suspects: [...suspects],
-			absent: [...absent],
+			absent: [...notListening],
 			leaving: [...this.leaving],
 			wanted: [...this.waiting.values()].map(({service, model, adapter, deadlines}): PendingDemand => ({
 				service, model, adapter, waiting: deadlines.length, remainingMs: Math.round(Math.min(...deadlines) - now),
--- a/packages/mastvalve-gateway/src/routing/retry-allowance.ts
+++ b/packages/mastvalve-gateway/src/routing/service-retry-budget.ts
@@ -5,7 +5,7 @@
  */
 
 /** Bounds of the allowance. */
-export type RetryBounds = {
+export type RetryLimits = {
 	/** Retries for each first try. */
 	ratio: number;
 	/** Retries in a window that need no first try, of all entries together. */
@@ -13,18 +13,18 @@
 	windowMs: number;
 };
 
-type Times = {first: number[]; retries: number[]};
+type RequestTimes = {first: number[]; retries: number[]};
 
 /** The allowance. */
-export class RetryAllowance {
-	private readonly services = new Map<string, Times>();
+export class ServiceRetryBudget {
+	private readonly services = new Map<string, RequestTimes>();
 
 	/** `readEntries` tells how many entries share the bounds; undefined while control has told none. */
-	constructor(private readonly bounds: RetryBounds, private readonly now: () => number, private readonly readEntries: () => number | undefined) {}
+	constructor(private readonly bounds: RetryLimits, private readonly now: () => number, private readonly readEntries: () => number | undefined) {}
 
 	/** A request for a service came. */
 	recordRequest(service: string): void {
-		this.timesOf(service).first.push(this.now());
+		this.getTimes(service).first.push(this.now());
 	}
 
 	/** Takes a retry, if one is left. */
@@ -32,7 +32,7 @@
 		const {ratio, slack} = this.bounds;
 		// A number of its own for each entry would add up to more than all of them may make, once there are many.
 		const ownSlack = slack / (this.readEntries() ?? Number.POSITIVE_INFINITY);
-		const times = this.timesOf(service);
+		const times = this.getTimes(service);
 		if (times.retries.length + 1 > (ratio * times.first.length) + ownSlack) {
 			return false;
 		}
@@ -41,17 +41,17 @@
 		return true;
 	}
 
-	private timesOf(service: string): Times {
+	private getTimes(service: string): RequestTimes {
 		const from = this.now() - this.bounds.windowMs;
 		const times = this.services.get(service) ?? {first: [], retries: []};
 		this.services.set(service, times);
-		dropBefore(times.first, from);
-		dropBefore(times.retries, from);
+		removeBefore(times.first, from);
+		removeBefore(times.retries, from);
 		return times;
 	}
 }
 
-const dropBefore = (times: number[], from: number): void => {
+const removeBefore = (times: number[], from: number): void => {
 	const kept = times.findIndex(time => time >= from);
 	times.splice(0, kept === -1 ? times.length : kept);
 };
--- a/packages/mastvalve-gateway/src/server/gateway-core.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-core.ts
@@ -11,9 +11,9 @@
 import type {CrashWatch} from '../quarantine/crash-watch.js';
 import type {RequestQuarantine} from '../quarantine/request-quarantine.js';
 import type {CapacityWaiters} from '../requests/capacity-waiters.js';
-import type {EndpointBoard} from '../routing/endpoint-board.js';
-import type {RetryAllowance} from '../routing/retry-allowance.js';
-import type {HeadTimes} from '../routing/head-times.js';
+import type {EndpointTracker} from '../routing/endpoint-tracker.js';
+import type {ServiceRetryBudget} from '../routing/service-retry-budget.js';
+import type {FirstByteTimes} from '../routing/first-byte-times.js';
 import type {ModelDemand} from '../routing/model-demand.js';
 import type {UpstreamAgent} from '../upstream/upstream-agent.js';
 import type {GatewayObserver} from './gateway-observer.js';
@@ -28,22 +28,22 @@
 	random: () => number;
 	dialect: Dialect;
 	view: FleetView;
-	board: EndpointBoard;
+	tracker: EndpointTracker;
 	/** Requests that wait for endpoints which restrict what they take. */
 	waiters: CapacityWaiters;
 	agent: UpstreamAgent;
 	access: AccessChecker;
 	limits: LimitClient;
 	limiter: EndpointLimiter;
-	allowance: RetryAllowance;
-	headTimes: HeadTimes;
+	retryBudget: ServiceRetryBudget;
+	firstByteTimes: FirstByteTimes;
 	demand: ModelDemand;
 	quarantine: RequestQuarantine;
-	crashes: CrashWatch;
+	crashDetector: CrashWatch;
 	log: LogDecision;
 	observer: GatewayObserver;
 	/** Whether this entry is about to stop. */
 	isDraining: () => boolean;
 	/** Called when it begins to stop. */
-	onDrain: Set<() => void>;
+	drainListeners: Set<() => void>;
 };
--- a/packages/mastvalve-gateway/src/server/gateway-node.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-node.ts
@@ -18,11 +18,11 @@
 import {probeListener} from '../quarantine/probe-listener.js';
 import {RequestQuarantine} from '../quarantine/request-quarantine.js';
 import {CapacityWaiters} from '../requests/capacity-waiters.js';
-import {EndpointBoard} from '../routing/endpoint-board.js';
-import {forgetEnded} from '../routing/forget-ended.js';
-import {HeadTimes} from '../routing/head-times.js';
+import {EndpointTracker} from '../routing/endpoint-tracker.js';
+import {forgetGoneEndpoints} from '../routing/forget-gone-endpoints.js';
+import {FirstByteTimes} from '../routing/first-byte-times.js';
 import {ModelDemand} from '../routing/model-demand.js';
-import {RetryAllowance, type RetryBounds} from '../routing/retry-allowance.js';
+import {ServiceRetryBudget, type RetryLimits} from '../routing/service-retry-budget.js';
 import {UpstreamAgent} from '../upstream/upstream-agent.js';
 import type {LogDecision} from './gateway-core.js';
 import type {GatewayObserver} from './gateway-observer.js';
@@ -42,7 +42,7 @@
 	listSources: () => string[];
 	/** Lower is nearer. */
 	distanceTo: (address: string) => number;
-	retries: RetryBounds;
+	retries: RetryLimits;
 	/** Longest time for which a key may be served after it was taken away, ms; undefined when there is no such bound. */
 	keyRevocationMs: number | undefined;
 	/** Window in which the limits of workspaces are counted, ms. */
@@ -93,17 +93,17 @@
 			},
 		});
 		this.reporter = new DemandReporter(client, () => this.follower.leader);
-		const headTimes = new HeadTimes();
+		const firstByteTimes = new FirstByteTimes();
 		this.demand = new ModelDemand(instance, now, () => {
 			this.reporter.hurry();
-		}, headTimes);
+		}, firstByteTimes);
 		this.crashReporter = new CrashReporter({client, listTargets: () => this.listControl()});
 		const quarantine = new RequestQuarantine(this.view, now);
 		const waiters = new CapacityWaiters(clock);
-		const board = new EndpointBoard(now, () => {
+		const tracker = new EndpointTracker(now, () => {
 			waiters.wakeAll();
 		});
-		forgetEnded(this.view, board, this.demand);
+		forgetGoneEndpoints(this.view, tracker, this.demand);
 		const limits = new LimitClient({
 			// Another life of the entry has another history.
 			entry: `${instance} ${random()}`,
@@ -115,19 +115,19 @@
 			random,
 			dialect,
 			view: this.view,
-			board,
+			tracker,
 			waiters,
 			agent: this.upstream,
 			access: this.access,
 			limits,
 			limiter: new EndpointLimiter({
-				view: this.view, board, client: limits, now,
+				view: this.view, board: tracker, client: limits, now,
 			}),
-			allowance: new RetryAllowance(retries, now, () => this.reporter.entries),
-			headTimes,
+			retryBudget: new ServiceRetryBudget(retries, now, () => this.reporter.entries),
+			firstByteTimes,
 			demand: this.demand,
 			quarantine,
-			crashes: this.createCrashWatch(quarantine, board, now, log),
+			crashDetector: this.createCrashWatch(quarantine, tracker, now, log),
 			log,
 		});
 	}
@@ -172,7 +172,7 @@
 		return [...new Set([...(leader === undefined ? [] : [leader]), ...this.follower.listMembers()])];
 	}
 
-	private createCrashWatch(quarantine: RequestQuarantine, board: EndpointBoard, now: () => number, log: LogDecision): CrashWatch {
+	private createCrashWatch(quarantine: RequestQuarantine, tracker: EndpointTracker, now: () => number, log: LogDecision): CrashWatch {
 		const watch = new CrashWatch({
 			now,
 			probe: probeListener,
@@ -182,8 +182,8 @@
 				log('endpoint.crashed', {endpoint: report.endpointId, fingerprints: report.fingerprints});
 				quarantine.recordCrash(report);
 				this.crashReporter.add(report);
-				board.recordAbsent(report.endpointId);
-				this.demand.recordAbsent(report.endpointId);
+				tracker.recordNotListening(report.endpointId);
+				this.demand.recordNotListening(report.endpointId);
 			},
 		});
 		this.view.subscribe(() => {
--- a/packages/mastvalve-gateway/src/server/gateway.ts
+++ b/packages/mastvalve-gateway/src/server/gateway.ts
@@ -34,7 +34,7 @@
 const drainPollMs = 50;
 
 /** What a gateway is made from. */
-export type GatewayParts = Omit<GatewayCore, 'isDraining' | 'onDrain' | 'observer'>;
+export type GatewayParts = Omit<GatewayCore, 'isDraining' | 'drainListeners' | 'observer'>;
 
 /** The server for callers. */
 export class Gateway {
@@ -48,7 +48,7 @@
 
 	constructor(parts: GatewayParts) {
 		this.core = {
-			...parts, isDraining: () => this.isDraining, onDrain: new Set(), observer: silentObserver,
+			...parts, isDraining: () => this.isDraining, drainListeners: new Set(), observer: silentObserver,
 		};
 	}
 
@@ -91,7 +91,7 @@
 	/** Takes requests for a while still, tells callers to reconnect, and ends when none is in progress. */
 	async drain(keepTakingMs: number): Promise<void> {
 		this.isDraining = true;
-		[...this.core.onDrain].forEach(stopWaiting => {
+		[...this.core.drainListeners].forEach(stopWaiting => {
 			stopWaiting();
 		});
 		await waitFor(keepTakingMs);
