--- a/packages/mastvalve-fleet-control/__tests__/crash-history.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/crash-history.steps.ts
@@ -44,11 +44,11 @@
 });
 
 Then('it is not quarantined', function (this: HistoryWorld) {
-	assert.equal(this.history.has(fingerprint), false);
+	assert.equal(this.history.isQuarantined(fingerprint), false);
 });
 
 Then('it is quarantined', function (this: HistoryWorld) {
-	assert.equal(this.history.has(fingerprint), true);
+	assert.equal(this.history.isQuarantined(fingerprint), true);
 	assert.deepEqual(this.history.listQuarantined(), [fingerprint]);
 });
 
@@ -73,7 +73,7 @@
 Given('a request that is quarantined', function (this: HistoryWorld) {
 	begin(this);
 	crashTimes(this, crashLimit, 'endpoint');
-	assert.equal(this.history.has(fingerprint), true);
+	assert.equal(this.history.isQuarantined(fingerprint), true);
 });
 
 When('its time is over by the leader\'s clock', function (this: HistoryWorld) {
@@ -84,14 +84,14 @@
 });
 
 Then('it is released, and {int} more crashes don\'t quarantine it again', function (this: HistoryWorld, count: number) {
-	assert.equal(this.history.has(fingerprint), false);
+	assert.equal(this.history.isQuarantined(fingerprint), false);
 	crashTimes(this, count, 'later');
-	assert.equal(this.history.has(fingerprint), false);
+	assert.equal(this.history.isQuarantined(fingerprint), false);
 });
 
 Then('the third does', function (this: HistoryWorld) {
 	crash(this, 'later-third');
-	assert.equal(this.history.has(fingerprint), true);
+	assert.equal(this.history.isQuarantined(fingerprint), true);
 });
 
 Given('{int} requests that are quarantined one after the other', function (this: HistoryWorld, count: number) {
--- a/packages/mastvalve-fleet/src/configuration/caller-limits.ts
+++ b/packages/mastvalve-fleet/src/configuration/caller-limits.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds on what callers may send.
+ * Limits on requests of callers.
  */
 
 /** Sizes in bytes, times in ms. */
--- a/packages/mastvalve-fleet/src/configuration/check-configuration.ts
+++ b/packages/mastvalve-fleet/src/configuration/check-configuration.ts
@@ -1,5 +1,5 @@
 /**
- * Rules that a configuration must keep besides its shape.
+ * Validates a configuration beyond its schema.
  */
 
 import type {Workspace} from 'mastvalve-access';
@@ -19,7 +19,7 @@
 	];
 };
 
-/** Keys that stand more than once; in time linear in their number, since thousands of routes come at once. */
+/** Returns keys that occur more than once, in linear time, since a configuration may have thousands of routes. */
 const findDuplicates = (keys: readonly string[]): string[] => {
 	const seen = new Set<string>();
 	return [...new Set(keys.filter(key => seen.size === seen.add(key).size))];
@@ -27,13 +27,13 @@
 
 const isPrefix = (prefix: string): boolean => prefix.startsWith('/') && prefix.endsWith('/');
 
-/** What is wrong with the workspaces. A finding names workspaces, never a key or its digest. */
+/** Returns the findings on workspaces. A finding names workspaces, never a key or its digest. */
 const checkWorkspaces = (workspaces: readonly Workspace[]): string[] => {
-	const holders = new Map<string, string>();
+	const ownersByDigest = new Map<string, string>();
 	const shared = workspaces.flatMap(({name, keyDigests}) => keyDigests.flatMap(digest => {
-		const holder = holders.get(digest) ?? name;
-		holders.set(digest, holder);
-		return holder === name ? [] : [`the workspaces ${holder} and ${name} share a key`];
+		const owner = ownersByDigest.get(digest) ?? name;
+		ownersByDigest.set(digest, owner);
+		return owner === name ? [] : [`the workspaces ${owner} and ${name} share a key`];
 	}));
 	return [
 		...findDuplicates(workspaces.map(({name}) => name)).map(name => `two workspaces are named ${name}`),
@@ -42,13 +42,13 @@
 	];
 };
 
-/** All findings; empty when the configuration is valid. */
+/** Returns all findings; none when the configuration is valid. */
 export const checkConfiguration = ({routes, services, workspaces}: ServingConfiguration): string[] => {
 	const names = new Set(services.map(service => service.name));
-	const places = findDuplicates(routes.map(route => keyOfRoute(route)));
+	const sharedKeys = findDuplicates(routes.map(route => keyOfRoute(route)));
 	return [
 		...routes.flatMap(route => checkRoute(route, names)),
-		...places.map(place => `two routes share ${place}`),
+		...sharedKeys.map(key => `two routes share ${key}`),
 		...checkWorkspaces(workspaces ?? []),
 		...findDuplicates(services.map(service => service.name)).map(name => `two services are named ${name}`),
 	];
--- a/packages/mastvalve-fleet/src/configuration/configuration-change.ts
+++ b/packages/mastvalve-fleet/src/configuration/configuration-change.ts
@@ -1,5 +1,5 @@
 /**
- * A configuration as single changes, so that only what differs travels, and in parts.
+ * Changes of a configuration, so that followers receive only differences, in pages.
  */
 
 import type {Workspace} from 'mastvalve-access';
@@ -7,24 +7,22 @@
 import type {Route} from './route.js';
 import type {ServedService} from './served-service.js';
 
-/** Kinds of changes. */
 export enum ConfigurationChangeKind {
-	/** A route is new or another one than before. */
+	/** A route was added or changed. */
 	Route = 'route',
-	/** A workspace is new or another one than before. */
+	/** A workspace was added or changed. */
 	Workspace = 'workspace',
-	/** A route or a workspace is there no more. */
+	/** A route or a workspace was removed. */
 	Removal = 'removal',
-	/** Services or bounds are others than before, or keys are asked for where they were not. */
+	/** Services, limits or the need for keys changed. */
 	Frame = 'frame',
-	/** All changes of this version have gone before: what was gathered is in force from now on. */
+	/** All changes of this version precede this one; the follower activates them now. */
 	Version = 'version',
 }
 
-/** What a configuration holds besides its routes and workspaces. */
+/** The parts of a configuration other than its routes and workspaces. */
 export type ConfigurationFrame = {services: ServedService[]; limits: CallerLimits; needsKeys: boolean};
 
-/** Any change. */
 export type ConfigurationChange
 	= | {kind: ConfigurationChangeKind.Route; route: Route}
 		| {kind: ConfigurationChangeKind.Workspace; workspace: Workspace}
--- a/packages/mastvalve-fleet/src/configuration/configuration-history.ts
+++ b/packages/mastvalve-fleet/src/configuration/configuration-history.ts
@@ -1,8 +1,8 @@
 /**
- * When each part of the configuration in force was last changed, as a feed for those who follow it.
+ * Records the revision at which each part of the active configuration last changed, as a feed for followers.
  *
- * Revisions are part of the replicated state: a follower that goes from one control instance to another goes on where
- * it was.
+ * Revisions are part of the replicated state, so a follower that switches to another control instance resumes at its
+ * cursor.
  */
 
 import {ChangeFeed, type FeedPosition} from '../state/change-feed.js';
@@ -12,19 +12,19 @@
 import type {Route} from './route.js';
 import type {ServingConfiguration} from './serving-configuration.js';
 
-/** Keys of what is no route; hosts contain neither sign. The version comes last within its revision. */
+/** Keys of the frame and the version; hosts contain neither character. The version sorts last within its revision. */
 const frameKey = '\u{1}';
 const versionKey = '\u{FFFF}';
 
-/** Removed routes and workspaces that are remembered beside as many as there are routes. */
-const minRemembered = 1000;
-/** A route in JSON without its names, and each of its targets, bytes. */
+/** Removals that are kept at least; more are kept while the configuration has more parts than this. */
+const minRetainedRemovals = 1000;
+/** Size in JSON of a route without its names, and of each target, bytes. */
 const routeBytes = 220;
 const targetBytes = 30;
-/** A workspace without its name, and each of its key digests. */
+/** Size in JSON of a workspace without its name, and of each key digest, bytes. */
 const workspaceBytes = 200;
 const digestBytes = 26;
-/** A service, and each of its models. */
+/** Size in JSON of a service, and of each model, bytes. */
 const serviceBytes = 300;
 const modelBytes = 160;
 const otherBytes = 60;
@@ -54,12 +54,12 @@
 	}
 };
 
-/** The history as plain data: revisions by key, and which keys are of removed routes and workspaces. */
+/** The history as plain data: revisions by key, including those of removed routes and workspaces. */
 export type HistorySnapshot = {revisions: Array<[key: string, revision: number]>; forgotten: FeedPosition};
 
 const isSame = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
 
-/** All changes that lead from nothing to a configuration, by key. */
+/** Returns the changes that build a configuration from an empty one, by key. */
 const listChanges = ({version, routes, services, limits, workspaces}: ServingConfiguration): Map<string, ConfigurationChange> =>
 	new Map<string, ConfigurationChange>([
 		...routes.map((route): [string, ConfigurationChange] => [keyOfRoute(route), {kind: ConfigurationChangeKind.Route, route}]),
@@ -68,9 +68,8 @@
 		[versionKey, {kind: ConfigurationChangeKind.Version, version}],
 	]);
 
-/** The history. */
 export class ConfigurationHistory {
-	/** The history as a snapshot holds it; without one, everything counts as changed at `revision`. */
+	/** Restores the history from a snapshot; without one, every part counts as changed at `revision`. */
 	static restore(configuration: ServingConfiguration | undefined, revision: number, snapshot: HistorySnapshot | undefined): ConfigurationHistory {
 		const history = new ConfigurationHistory(snapshot?.forgotten);
 		if (!configuration) {
@@ -87,14 +86,14 @@
 
 	readonly feed: ChangeFeed<ConfigurationChange>;
 	private readonly current = new Map<string, ConfigurationChange>();
-	/** Keys of removed routes and workspaces, the one removed first at the front. */
+	/** Keys of removed routes and workspaces, in order of removal. */
 	private readonly removed = new Set<string>();
 
 	constructor(forgotten?: FeedPosition) {
 		this.feed = new ChangeFeed(estimateBytes, forgotten);
 	}
 
-	/** Notes what a configuration changes. */
+	/** Records the differences between a configuration and the current one. */
 	apply(configuration: ServingConfiguration, revision: number): void {
 		const next = listChanges(configuration);
 		const changed = [...next].filter(([key, change]) => !isSame(this.current.get(key), change));
@@ -124,7 +123,7 @@
 	}
 
 	private forgetOldRemovals(live: number): void {
-		const surplus = this.removed.size - Math.max(minRemembered, live);
+		const surplus = this.removed.size - Math.max(minRetainedRemovals, live);
 		[...this.removed].slice(0, Math.max(0, surplus)).forEach(key => {
 			this.removed.delete(key);
 			this.current.delete(key);
--- a/packages/mastvalve-fleet/src/configuration/engine-model.ts
+++ b/packages/mastvalve-fleet/src/configuration/engine-model.ts
@@ -1,16 +1,16 @@
 /**
- * A model that the engines of a service may hold.
+ * A model that engines of a service can load.
  */
 
 /** Sizes in MB, times in ms. */
 export type EngineModel = {
 	name: string;
 	size: number;
-	/** Loading from the weight store. */
+	/** Duration of a load from the weight store. */
 	storeLoadMs: number;
-	/** Loading from the endpoint's own disk. */
+	/** Duration of a load from the endpoint's own disk. */
 	diskLoadMs: number;
-	/** Loading from the endpoint's host memory. */
+	/** Duration of a load from the endpoint's host memory. */
 	memoryLoadMs: number;
 	/** Adapters are named a1 to aN. */
 	adapterCount: number;
--- a/packages/mastvalve-fleet/src/configuration/route-table.ts
+++ b/packages/mastvalve-fleet/src/configuration/route-table.ts
@@ -1,22 +1,22 @@
 /**
- * Which route a request takes: of its host's routes, the one with the longest prefix of the path.
+ * Matches a request to the route of its host with the longest path prefix.
  *
- * Prefixes start and end with a slash, so a path has few candidates, and a look-up costs the same for one route and for
- * thousands.
+ * Prefixes start and end with a slash, so a path has few candidates, and the cost of a look-up does not depend on the number of
+ * routes.
  */
 
 import type {Route} from './route.js';
 
-/** Identifies a route: no two of a configuration share host and prefix. */
+/** Returns the key of a route; no two routes of a configuration share host and prefix. */
 export const keyOfRoute = ({host, pathPrefix}: Pick<Route, 'host' | 'pathPrefix'>): string => `${host}${pathPrefix}`;
 
-/** Prefixes that may lead a path, the longest first. */
+/** Returns the possible prefixes of a path, the longest first. */
 const listPrefixes = (path: string): string[] => {
 	const segments = path.split('/').slice(0, -1);
 	return segments.map((_, index) => `${segments.slice(0, segments.length - index).join('/')}/`);
 };
 
-/** The routes of one configuration; never changes. */
+/** The routes of one configuration; immutable. */
 export class RouteTable {
 	private readonly routes: ReadonlyMap<string, Route>;
 
@@ -28,7 +28,7 @@
 		return this.routes.size;
 	}
 
-	/** The route of a request, if there is one. */
+	/** Returns the route of a request; undefined when none matches. */
 	match(host: string, path: string): Route | undefined {
 		const prefix = listPrefixes(path).find(each => this.routes.has(`${host}${each}`));
 		return prefix === undefined ? undefined : this.routes.get(`${host}${prefix}`);
--- a/packages/mastvalve-fleet/src/configuration/route.ts
+++ b/packages/mastvalve-fleet/src/configuration/route.ts
@@ -1,21 +1,20 @@
 /**
- * A route: which requests go to which services, and under which bounds.
+ * Routes: which requests go to which services, and under which limits.
  */
 
-/** What may be done with a request when its answer is lost. */
+/** Decides whether a request may be repeated when its answer is lost. */
 export enum RouteKind {
-	/** Events, one after another; repeated only when resumable. */
+	/** The answer is a stream of events; repeated only when resumable. */
 	Stream = 'stream',
-	/** Running it twice does no harm. */
+	/** The request may run more than once. */
 	Safe = 'safe',
-	/** It runs at most once. */
+	/** The request runs at most once. */
 	Unsafe = 'unsafe',
 }
 
-/** A service that gets a share of a route's requests. */
+/** A service that gets a share of a route's requests, in proportion to its weight. */
 export type RouteTarget = {service: string; weight: number};
 
-/** One route; of a host's routes the longest prefix wins. */
 export type Route = {
 	name: string;
 	host: string;
@@ -24,17 +23,17 @@
 	kind: RouteKind;
 	/** Longest time for which a request may be held, ms. */
 	timeoutMs: number;
-	/** Latency objective: the first byte (a stream's first event) in this time, ms. */
+	/** Latency objective for the first byte, or the first event of a stream, ms. */
 	objectiveMs: number;
-	/** A caller of a stream gives up when no event comes for this long, ms; undefined when only its deadline counts. */
+	/** Time without an event after which the caller of a stream gives up, ms; undefined when only the deadline counts. */
 	patienceMs: number | undefined;
 	/** 0 is the most urgent. */
 	priority: number;
 	targets: RouteTarget[];
-	/** Endpoints that one request may be sent to at the most. */
+	/** Maximum number of endpoints to which one request may be sent. */
 	maxAttempts: number;
-	/** Whether a broken stream may go on at another endpoint. */
+	/** Whether an interrupted stream may resume at another endpoint. */
 	isResumable: boolean;
-	/** Whether anybody may ask, also without a key. */
+	/** Whether requests without a key are accepted. */
 	isAnonymous: boolean;
 };
--- a/packages/mastvalve-fleet/src/configuration/served-service.ts
+++ b/packages/mastvalve-fleet/src/configuration/served-service.ts
@@ -1,28 +1,28 @@
 /**
- * A service whose endpoints answer requests.
+ * Services and the specification of their engines.
  */
 
 import type {EngineModel} from './engine-model.js';
 
-/** What model engines of a service can do. */
+/** Capacity of the model engines of a service. */
 export type EngineSpec = {
-	/** Requests in one batch. */
+	/** Maximum number of requests in one batch. */
 	slots: number;
-	/** Tokens that running requests and cached prefixes share. */
+	/** Capacity shared by running requests and cached prefixes, tokens. */
 	tokenCapacity: number;
 	/** Accelerator memory for weights and adapters, MB. */
 	weightCapacity: number;
 	adapterSlots: number;
-	/** Loads a second that the weight store allows, over all endpoints. */
+	/** Loads per second that the weight store allows over all endpoints. */
 	storeLoadsPerSecond: number;
 	models: EngineModel[];
 };
 
-/** One service; a plain one has no engine. */
+/** A service whose endpoints answer requests; one without model engines has no `engine`. */
 export type ServedService = {
 	name: string;
 	healthPath: string;
-	/** Connections that one endpoint accepts from all callers together. */
+	/** Maximum number of connections that one endpoint accepts from all callers together. */
 	maxConnections: number;
 	engine?: EngineSpec;
 };
--- a/packages/mastvalve-fleet/src/configuration/serving-configuration.ts
+++ b/packages/mastvalve-fleet/src/configuration/serving-configuration.ts
@@ -1,5 +1,5 @@
 /**
- * What operators set: routes, services, callers' limits and workspaces, under one version.
+ * The configuration that operators set: routes, services, caller limits and workspaces, under one version.
  */
 
 import type {Workspace} from 'mastvalve-access';
@@ -7,15 +7,15 @@
 import type {Route} from './route.js';
 import type {ServedService} from './served-service.js';
 
-/** A whole configuration; a higher version replaces it. */
+/** A complete configuration; only one with a higher version replaces it. */
 export type ServingConfiguration = {
 	version: number;
 	routes: Route[];
 	services: ServedService[];
 	limits: CallerLimits;
-	/** Undefined where no keys are asked for; an empty list lets nobody in but on anonymous routes. */
+	/** Undefined when keys are not required; with an empty list, only anonymous routes accept requests. */
 	workspaces?: Workspace[];
 };
 
-/** A configuration with the operators' own text of it, which is handed back on reading. */
+/** A configuration with the operators' source text, which is returned when the configuration is read. */
 export type StatedConfiguration = {configuration: ServingConfiguration; source: string};
--- a/packages/mastvalve-fleet/src/configuration/workspace-key.ts
+++ b/packages/mastvalve-fleet/src/configuration/workspace-key.ts
@@ -1,6 +1,6 @@
 /**
- * The key of a workspace among the parts of a configuration.
+ * Keys of workspaces in the configuration history.
  */
 
-/** Begins with a sign that no host contains, so it is no route's key. */
+/** Returns the key of a workspace. It starts with a character that no host contains, so it never equals the key of a route. */
 export const keyOfWorkspace = (name: string): string => `\u{2}${name}`;
--- a/packages/mastvalve-fleet/src/index.ts
+++ b/packages/mastvalve-fleet/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Routes, services and endpoints as a replicated state machine, and pure policy over them.
+ * The replicated state machine of routes, services and endpoints, and pure policies over its state.
  */
 
 export type * from './configuration/caller-limits.js';
--- a/packages/mastvalve-fleet/src/quarantine/crash-history.ts
+++ b/packages/mastvalve-fleet/src/quarantine/crash-history.ts
@@ -1,9 +1,9 @@
 /**
- * Which requests were running when endpoints crashed, and which of them are quarantined for it: pure and deterministic.
+ * Records which requests were running when endpoints crashed, and quarantines repeated suspects. Deterministic.
  *
- * All requests of an endpoint that crashes share the suspicion. The ones that had no part in it come to no second crash,
- * or to few; a request that ends whatever runs it is in every one of them. Crashes are counted by the incarnations of
- * endpoints, so that several entries may report the same one, and one entry may report it twice.
+ * All requests that run on a crashing endpoint become suspects. Unrelated requests are rarely part of further crashes; a
+ * request that crashes its endpoint is part of each one. Crashes are counted by incarnation, so that reports of the same
+ * crash by several entries, or twice by one, count once.
  */
 
 import {BoundedMap} from 'mastvalve-utils';
@@ -12,28 +12,27 @@
 import type {QuarantineChange} from './quarantine-change.js';
 
 /**
- * Lives of endpoints that end under a request before it is quarantined. With two, a request that was near two crashes by
- * chance would be refused: an endpoint that crashes takes up to 16 others with it (22 crashes), which come again elsewhere at once.
+ * Number of incarnations that crash while running a request before it is quarantined. With two, a request that ran during two
+ * crashes by chance would be refused: a crash interrupts up to 16 other requests (seen in 22 crashes), which are retried elsewhere at once.
  */
 export const crashLimit = 3;
-/** A quarantine ends by itself, since endpoints get newer software that may bear the request; ms. */
+/** Duration of a quarantine, ms. It expires because a later software version of the endpoints may handle the request. */
 export const quarantineMs = 30 * 60_000;
-/** Suspects that are remembered: all requests of 64 engines with 64 requests each that fail together. */
+/** Maximum number of suspects: all requests of 64 engines with 64 requests each that fail together. */
 const maxSuspects = 4096;
-/** Quarantined requests, and those that were; there is rarely more than one at a time. */
+/** Maximum number of current and former quarantines; there is rarely more than one at a time. */
 const maxQuarantined = 1000;
-/** A change in JSON, bytes. */
+/** Size of a change in JSON, bytes. */
 const changeBytes = 60;
 
 /** The history as plain data. */
 export type CrashSnapshot = {
-	/** Lives of endpoints by fingerprint, the one that was near a crash longest ago first. */
+	/** Crashed incarnations by fingerprint, the least recent suspect first. */
 	suspects: Array<[string, string[]]>;
 	quarantine: Array<QuarantineChange & {revision: number}>;
 	forgotten: FeedPosition;
 };
 
-/** The history. */
 export class CrashHistory {
 	static restore(snapshot: CrashSnapshot | undefined): CrashHistory {
 		const history = new CrashHistory(snapshot?.forgotten);
@@ -41,7 +40,7 @@
 			history.suspects.set(fingerprint, incarnations);
 		});
 		snapshot?.quarantine.forEach(({revision, ...change}) => {
-			history.note(change, revision);
+			history.recordChange(change, revision);
 		});
 		return history;
 	}
@@ -54,31 +53,31 @@
 		this.feed = new ChangeFeed(() => changeBytes, forgotten);
 	}
 
-	/** Takes a crash in. The result names the requests that are quarantined for it. */
+	/** Records a crash. Returns the fingerprints of the requests that it quarantines. */
 	record({endpointId, fingerprints}: CrashReport, revision: number): string[] {
-		const quarantined = fingerprints.filter(fingerprint => !this.has(fingerprint) && this.countCrash(fingerprint, endpointId) >= crashLimit);
+		const quarantined = fingerprints.filter(fingerprint => !this.isQuarantined(fingerprint) && this.countCrash(fingerprint, endpointId) >= crashLimit);
 		quarantined.forEach(fingerprint => {
 			this.suspects.delete(fingerprint);
-			this.note({fingerprint, isQuarantined: true}, revision);
+			this.recordChange({fingerprint, isQuarantined: true}, revision);
 		});
 		return quarantined;
 	}
 
-	/** Whether a request is not to be handed to any endpoint. */
-	has(fingerprint: string): boolean {
+	/** Whether a request must not be sent to any endpoint. */
+	isQuarantined(fingerprint: string): boolean {
 		return this.quarantine.get(fingerprint) ?? false;
 	}
 
-	/** All requests that are quarantined. */
+	/** Returns the fingerprints of all quarantined requests. */
 	listQuarantined(): string[] {
 		return this.quarantine.list().flatMap(([fingerprint, isQuarantined]) => (isQuarantined ? [fingerprint] : []));
 	}
 
-	/** Ends quarantines; the crashes that led to them don't count any more. The result tells whether anything changed. */
+	/** Ends quarantines; the crashes that led to them no longer count. Returns whether the state changed. */
 	release(fingerprints: readonly string[], revision: number): boolean {
-		const known = fingerprints.filter(fingerprint => this.has(fingerprint));
+		const known = fingerprints.filter(fingerprint => this.isQuarantined(fingerprint));
 		known.forEach(fingerprint => {
-			this.note({fingerprint, isQuarantined: false}, revision);
+			this.recordChange({fingerprint, isQuarantined: false}, revision);
 		});
 		return known.length > 0;
 	}
@@ -91,7 +90,7 @@
 		};
 	}
 
-	/** The incarnations that have ended under a request, this one included. */
+	/** Counts the incarnations that crashed while running a request, including this one. */
 	private countCrash(fingerprint: string, endpointId: string): number {
 		const incarnations = this.suspects.get(fingerprint) ?? [];
 		const all = incarnations.includes(endpointId) ? incarnations : [...incarnations, endpointId];
@@ -99,7 +98,7 @@
 		return all.length;
 	}
 
-	private note(change: QuarantineChange, revision: number): void {
+	private recordChange(change: QuarantineChange, revision: number): void {
 		this.feed.put(change.fingerprint, change, revision);
 		const forgotten = this.quarantine.set(change.fingerprint, change.isQuarantined);
 		if (forgotten !== undefined) {
--- a/packages/mastvalve-fleet/src/quarantine/crash-report.ts
+++ b/packages/mastvalve-fleet/src/quarantine/crash-report.ts
@@ -1,11 +1,11 @@
 /**
- * What an entry tells of an endpoint that has crashed.
+ * Reports of entries on crashed endpoints.
  */
 
-/** One crash, as far as one entry saw it; other entries may report more of the same. */
+/** One crash as observed by one entry; other entries may report the same crash with other requests. */
 export type CrashReport = {
-	/** Identity of the endpoint's incarnation that ended. */
+	/** Identity of the incarnation that crashed. */
 	endpointId: string;
-	/** Fingerprints of the requests that this entry had there when it ended. */
+	/** Fingerprints of the requests of this entry that were in flight there. */
 	fingerprints: string[];
 };
--- a/packages/mastvalve-fleet/src/quarantine/quarantine-change.ts
+++ b/packages/mastvalve-fleet/src/quarantine/quarantine-change.ts
@@ -1,10 +1,10 @@
 /**
- * What followers learn of the requests that are not handed to any endpoint.
+ * Changes of quarantines, as followers receive them.
  */
 
-/** The newest word on one request. */
+/** The newest state of one request. */
 export type QuarantineChange = {
 	fingerprint: string;
-	/** False once it may be handed to endpoints again. */
+	/** False once the request may be sent to endpoints again. */
 	isQuarantined: boolean;
 };
--- a/packages/mastvalve-fleet/src/state/apply-report.ts
+++ b/packages/mastvalve-fleet/src/state/apply-report.ts
@@ -1,5 +1,5 @@
 /**
- * How a heartbeat or the end of an order changes an endpoint, as pure functions.
+ * Applies heartbeats and completed orders to an endpoint. Pure functions.
  */
 
 import type {Holdings} from './fleet-command.js';
@@ -7,21 +7,21 @@
 	EndpointPhase, type EndpointReport, type FleetEndpoint, type HeldModel,
 } from './fleet-endpoint.js';
 
-const phaseAfter = (known: FleetEndpoint | undefined, report: EndpointReport): EndpointPhase => {
+const nextPhase = (known: FleetEndpoint | undefined, report: EndpointReport): EndpointPhase => {
 	const isLeaving = report.isLeaving || known?.phase === EndpointPhase.Leaving;
 	return isLeaving ? EndpointPhase.Leaving : EndpointPhase.Ready;
 };
 
 /**
- * Models as the heartbeat tells them, with the adapters that control knows: endpoints send no heartbeat when adapters
- * change, and only control's orders change them.
+ * Returns the models that the heartbeat reports, with the recorded adapters: endpoints send no heartbeat when adapters
+ * change, and only orders of control change them.
  */
 const keepAdapters = (known: FleetEndpoint | undefined, report: EndpointReport): HeldModel[] =>
 	report.holds.map(held => known?.holds.find(({name}) => name === held.name) ?? held);
 
 /**
- * Takes a heartbeat in; a late one, or one of an endpoint that has left, changes nothing. What was ordered of the former incarnation
- * of a new one may still come to it, since orders name the endpoint and not the incarnation.
+ * Applies a heartbeat; an out-of-order one, or one of an endpoint that is gone, changes nothing. `former` is the previous
+ * incarnation of a new one, whose pending orders may still reach it, since orders name the endpoint and not the incarnation.
  */
 export const applyReport = (known: FleetEndpoint | undefined, report: EndpointReport, revision: number, former?: FleetEndpoint): FleetEndpoint | undefined => {
 	const isLate = known !== undefined && report.sequence <= known.sequence;
@@ -29,7 +29,7 @@
 		return known;
 	}
 
-	const phase = phaseAfter(known, report);
+	const phase = nextPhase(known, report);
 	return {
 		...report,
 		isLeaving: phase === EndpointPhase.Leaving,
@@ -56,11 +56,11 @@
 		revision,
 	};
 
-const comparable = (report: EndpointReport): string => JSON.stringify([
+const createComparisonKey = (report: EndpointReport): string => JSON.stringify([
 	report.service, report.address, report.failureDomain, report.slots, report.holds.map(({name}) => name), report.inMemory, report.onDisk,
 ]);
 
-/** Whether a heartbeat says anything that the state doesn't; only then it needs the log. */
+/** Whether a heartbeat differs from the recorded state; only then it goes through the log. */
 export const changesEndpoint = (known: FleetEndpoint | undefined, report: EndpointReport): boolean => {
 	if (!known) {
 		return true;
@@ -70,5 +70,5 @@
 		return false;
 	}
 
-	return phaseAfter(known, report) !== known.phase || comparable(known) !== comparable(report);
+	return nextPhase(known, report) !== known.phase || createComparisonKey(known) !== createComparisonKey(report);
 };
--- a/packages/mastvalve-fleet/src/state/change-feed.ts
+++ b/packages/mastvalve-fleet/src/state/change-feed.ts
@@ -1,39 +1,39 @@
 /**
- * Changes of keyed things in the order in which they were made, handed out in parts of bounded size.
+ * Feed of changes to keyed items in revision order, read in pages of bounded size.
  *
- * A reader's place is the change that it read last, so it goes on from there whatever has changed meanwhile, also at
- * another copy of the feed: nothing is sent twice because the state is large, a link slow or a source lost. Of each key only the
- * newest change is kept.
+ * A reader's cursor names the last change that it read. It resumes from there after any further changes, also at another
+ * replica of the feed, so nothing is sent twice because of a large state, a slow link or a lost source. The feed keeps only
+ * the newest change of each key.
  */
 
-/** A place among the changes; those of one revision are ordered by key. */
+/** A position in the feed; changes of one revision are ordered by key. */
 export type FeedPosition = {revision: number; key: string};
 
-/** A reader's place: behind all changes up to this one. */
+/** A reader's position: it has read all changes up to and including this one. */
 export type FeedCursor = FeedPosition & {
-	/** Newest revision at the moment at which the reader began; it holds nothing that was superseded before. */
+	/** Newest revision when the reader started; the reader holds nothing that was superseded before. */
 	begunAt: number;
 };
 
-/** What a reader gets at once. */
+/** One page of changes. */
 export type FeedPage<T> = {
-	/** Set when the reader must forget all that it has: what it missed is not kept any more. */
+	/** Whether the reader must discard its state, since changes that it missed are no longer kept. */
 	isWhole: boolean;
 	changes: T[];
-	/** The reader's place behind this part. */
+	/** The reader's position after this page. */
 	cursor: FeedCursor;
-	/** Whether nothing follows at this moment. */
+	/** Whether no change follows at this moment. */
 	isLast: boolean;
 };
 
 type Entry<T> = {key: string; revision: number; change: T; bytes: number};
 
 /**
- * Size of a part, in bytes of JSON as estimated. At 7 Mbit/s, the slowest links met, it takes 75 ms unpacked, so a change
- * that stops traffic to an endpoint never waits for long behind a large configuration.
+ * Size of a page, in estimated bytes of JSON. At 7 Mbit/s, the slowest observed link, a page takes 75 ms uncompressed, so a
+ * change that stops traffic to an endpoint is never delayed for long by a large configuration.
  */
 export const maxPageBytes = 65_536;
-/** Superseded changes are swept out once there are this many beside as many as are kept. */
+/** Superseded changes are removed once they exceed the kept changes by this number. */
 const minSuperseded = 64;
 
 const compare = (a: FeedPosition, b: FeedPosition): number => {
@@ -50,15 +50,14 @@
 
 const start: FeedPosition = {revision: -1, key: ''};
 
-/** The feed. */
 export class ChangeFeed<T> {
 	private readonly latest = new Map<string, Entry<T>>();
-	/** By revision, then key; with superseded ones. */
+	/** Ordered by revision, then key; includes superseded changes. */
 	private ordered: Array<Entry<T>> = [];
-	/** `estimateBytes` tells about how long a change is as JSON; readers before `forgotten` may hold what was forgotten. */
+	/** `estimateBytes` estimates the size of a change as JSON; readers before `forgotten` may hold forgotten keys. */
 	constructor(private readonly estimateBytes: (change: T) => number, private forgotten: FeedPosition = start) {}
 
-	/** The newest place of all that was forgotten. */
+	/** The newest position of all forgotten changes. */
 	get forgottenUpTo(): FeedPosition {
 		return this.forgotten;
 	}
@@ -67,20 +66,20 @@
 		return this.latest.size;
 	}
 
-	/** Notes the newest change of a key. Revisions never fall, and all changes of one are made before anybody reads. */
+	/** Records the newest change of a key. Revisions never decrease, and all changes of a revision are recorded before the next read. */
 	put(key: string, change: T, revision: number): void {
 		const entry = {
 			key, revision, change, bytes: this.estimateBytes(change),
 		};
 		this.latest.set(key, entry);
-		const place = this.ordered.findLastIndex(other => compare(other, entry) < 0) + 1;
-		this.ordered.splice(place, 0, entry);
+		const insertAt = this.ordered.findLastIndex(other => compare(other, entry) < 0) + 1;
+		this.ordered.splice(insertAt, 0, entry);
 		if (this.ordered.length > (2 * this.latest.size) + minSuperseded) {
 			this.ordered = this.ordered.filter(each => this.isLatest(each));
 		}
 	}
 
-	/** Forgets a key. Readers that have not read its newest change must begin anew. */
+	/** Forgets a key. A reader that started before its newest change and has not read it must start over. */
 	forget(key: string): void {
 		const entry = this.latest.get(key);
 		if (entry) {
@@ -89,26 +88,26 @@
 		}
 	}
 
-	/** Whether something follows a reader's place. */
+	/** Whether changes follow a cursor. */
 	hasMore(cursor: FeedPosition | undefined): boolean {
 		const last = this.ordered.findLast(entry => this.isLatest(entry));
 		return last !== undefined && compare(cursor ?? start, last) < 0;
 	}
 
-	/** All newest changes, the oldest first. */
+	/** Returns the newest change of each key, the oldest first. */
 	list(): Array<{key: string; revision: number; change: T}> {
 		return this.ordered.filter(entry => this.isLatest(entry));
 	}
 
-	/** The part that follows a reader's place; without a place, the first one. */
+	/** Returns the page after a cursor; the first page without one. */
 	readAfter(cursor: FeedCursor | undefined): FeedPage<T> {
 		const isWhole = cursor === undefined || this.mayHoldForgotten(cursor);
 		const from: FeedCursor = isWhole ? {...start, begunAt: this.newestRevision} : cursor;
 		const entries = this.collectAfter(from);
 		const last = entries.at(-1);
-		const place = last ? {revision: last.revision, key: last.key, begunAt: from.begunAt} : from;
+		const next = last ? {revision: last.revision, key: last.key, begunAt: from.begunAt} : from;
 		return {
-			isWhole, changes: entries.map(({change}) => change), cursor: place, isLast: !this.hasMore(place),
+			isWhole, changes: entries.map(({change}) => change), cursor: next, isLast: !this.hasMore(next),
 		};
 	}
 
@@ -116,7 +115,7 @@
 		return this.ordered.at(-1)?.revision ?? start.revision;
 	}
 
-	/** Newest changes behind a place, as many as a part holds; one at the least. */
+	/** Returns the newest changes after a position, as many as a page holds, and at least one if any follows. */
 	private collectAfter(from: FeedPosition): Array<Entry<T>> {
 		const entries: Array<Entry<T>> = [];
 		let bytes = 0;
@@ -141,7 +140,7 @@
 		return this.latest.get(entry.key) === entry;
 	}
 
-	/** Index of the first entry behind a place, by bisection. */
+	/** Returns the index of the first entry after a position, by binary search. */
 	private findAfter(cursor: FeedPosition): number {
 		let low = 0;
 		let high = this.ordered.length;
--- a/packages/mastvalve-fleet/src/state/endpoint-incarnation.ts
+++ b/packages/mastvalve-fleet/src/state/endpoint-incarnation.ts
@@ -1,16 +1,16 @@
 /**
- * One incarnation of an endpoint: from a start of its process to its end. An endpoint may start again under the name that it had; it
- * then knows nothing of before, and its counts begin anew. All that is kept of an endpoint is kept of one incarnation, by the
- * identity that is made here of its name and the time of its start.
+ * Identity of one incarnation of an endpoint: from the start of its process to its end. An endpoint may restart under the same
+ * name, without its former state and with counters reset. All state of an endpoint is therefore kept per incarnation, under an
+ * identity that consists of the endpoint's name and start time.
  */
 
-/** Name and start of an incarnation. */
+/** Name and start time of an incarnation. */
 export type EndpointIncarnation = {
-	/** What the endpoint calls itself, and what requests and orders for it name. */
+	/** Name that the endpoint reports, and by which requests and orders address it. */
 	name: string;
 	/**
-	 * When it started by its own clock, ms since the epoch; undefined for one that doesn't tell. Clocks of machines step, so it
-	 * orders the incarnations of one name and nothing else, and not even those for certain.
+	 * Start time by the endpoint's own clock, ms since the epoch; undefined if not reported. Machine clocks may step, so it only
+	 * orders the incarnations of one name, and not reliably.
 	 */
 	startedAt: number | undefined;
 };
@@ -18,16 +18,16 @@
 const separator = '#';
 const pattern = /^(?<name>.+)#(?<startedAt>\d+)$/v;
 
-/** The identity of an incarnation. */
+/** Formats the identity of an incarnation as `name#startedAt`, or as the name alone without a start time. */
 export const formatIncarnation = ({name, startedAt}: EndpointIncarnation): string => (startedAt === undefined ? name : `${name}${separator}${startedAt}`);
 
-/** The incarnation that an identity names. */
+/** Parses an identity; one without a start time is a name. */
 export const parseIncarnation = (id: string): EndpointIncarnation => {
 	const groups = pattern.exec(id)?.groups;
 	return groups?.name === undefined ? {name: id, startedAt: undefined} : {name: groups.name, startedAt: Number(groups.startedAt)};
 };
 
-/** Whether an identity is that of an earlier incarnation of the same endpoint than another one, as far as births tell. */
+/** Whether an identity is of an earlier incarnation of the same endpoint than another one, by their start times. */
 export const isEarlierIncarnation = (id: string, other: string): boolean => {
 	const {name, startedAt = Number.NEGATIVE_INFINITY} = parseIncarnation(id);
 	const {name: otherName, startedAt: otherStartedAt = Number.NEGATIVE_INFINITY} = parseIncarnation(other);
--- a/packages/mastvalve-fleet/src/state/endpoint-registry.ts
+++ b/packages/mastvalve-fleet/src/state/endpoint-registry.ts
@@ -1,8 +1,8 @@
 /**
- * All endpoints that are remembered, how heartbeats and orders change them, and the feed of those changes.
+ * Registry of all known endpoints: applies heartbeats and orders, and feeds the resulting changes to followers.
  *
- * An endpoint goes forward only: once it is leaving or gone, no late heartbeat brings it back. Each change says whether it changed
- * anything. Deterministic; the index is that of the log.
+ * Phases only advance: once an endpoint is leaving or gone, no late heartbeat reverts that. Each operation returns whether it
+ * changed the state. Deterministic; `index` is the log index.
  */
 
 import {applyHoldings, applyReport} from './apply-report.js';
@@ -14,7 +14,7 @@
 	EndpointPhase, takesRequests, type EndpointReport, type FleetEndpoint,
 } from './fleet-endpoint.js';
 
-/** An endpoint in JSON without its lists, a model that it holds, an adapter or a copy of weights, bytes. */
+/** Size in JSON of an endpoint without its lists, of a held model, and of an adapter or a copy of weights, bytes. */
 const endpointBytes = 330;
 const heldBytes = 40;
 const nameBytes = 14;
@@ -24,13 +24,12 @@
 	return endpointBytes + (holds.length * heldBytes) + ((adapters + inMemory.length + onDisk.length) * nameBytes);
 };
 
-/** The register. */
 export class EndpointRegistry {
-	/** What followers read. */
+	/** Feed that followers read. */
 	feed = new ChangeFeed<FleetEndpoint>(estimateEndpoint);
 	private readonly store = new EndpointStore();
 
-	/** All endpoints that are not forgotten. */
+	/** Returns all endpoints that are not forgotten. */
 	list(): FleetEndpoint[] {
 		return this.store.list();
 	}
@@ -39,7 +38,7 @@
 		return this.store.find(id);
 	}
 
-	/** Begins anew with what a snapshot holds. */
+	/** Replaces the state by that of a snapshot. */
 	restore(endpoints: readonly FleetEndpoint[], forgotten: FeedPosition | undefined): void {
 		this.store.clear();
 		this.feed = new ChangeFeed(estimateEndpoint, forgotten);
@@ -52,17 +51,17 @@
 	}
 
 	/**
-	 * Whether a heartbeat is of an endpoint to use: not the late word of an earlier incarnation. A stranger at the address of an endpoint
-	 * ends nobody. The one that is known is believed over an earlier birth only while it is heard: the clock of its machine may have
-	 * been set back before the next start.
+	 * Whether a heartbeat is accepted: it must not be a late one of an earlier incarnation. A rejected heartbeat from the address
+	 * of another endpoint does not end that one. The known incarnation takes precedence over one with an earlier start time only
+	 * while it sends heartbeats, since the clock of its machine may have been set back before a restart.
 	 */
 	acceptsReport({id}: EndpointReport): boolean {
 		const current = this.store.findCurrent(parseIncarnation(id).name);
-		const isHeard = current?.phase === EndpointPhase.Ready || current?.phase === EndpointPhase.Leaving;
-		return !(isHeard && isEarlierIncarnation(id, current.id));
+		const isReporting = current?.phase === EndpointPhase.Ready || current?.phase === EndpointPhase.Leaving;
+		return !(isReporting && isEarlierIncarnation(id, current.id));
 	}
 
-	/** Takes a heartbeat in. A new incarnation at an address, or of a name, tells that the former one has ended. */
+	/** Applies a heartbeat. A new incarnation at an address, or of a name, shows that the former one has ended. */
 	report(report: EndpointReport, index: number): boolean {
 		const known = this.store.find(report.id);
 		const former = known ? [] : this.listReplaced(report);
@@ -70,11 +69,11 @@
 			this.setPhase(id, EndpointPhase.Gone, index);
 		});
 		const {name} = parseIncarnation(report.id);
-		const isTaken = this.replace(applyReport(known, report, index, former.find(({id}) => parseIncarnation(id).name === name)), index);
-		return isTaken || former.length > 0;
+		const isApplied = this.replace(applyReport(known, report, index, former.find(({id}) => parseIncarnation(id).name === name)), index);
+		return isApplied || former.length > 0;
 	}
 
-	/** An endpoint has told that it ends, so what it cut off then is no crash. */
+	/** Marks an endpoint as gone that reported its end, so requests that it then interrupts don't count as a crash. */
 	leave(name: string, index: number): boolean {
 		const known = this.store.findCurrent(name);
 		return known
@@ -84,7 +83,7 @@
 			: false;
 	}
 
-	/** Endpoints that are ready send no heartbeats any more. */
+	/** Marks ready endpoints that no longer send heartbeats. */
 	markSilent(ids: readonly string[], index: number): boolean {
 		return ids
 			.filter(id => this.store.find(id)?.phase === EndpointPhase.Ready)
@@ -92,7 +91,7 @@
 			.some(Boolean);
 	}
 
-	/** Endpoints that are in use have told entries that they are leaving. */
+	/** Marks endpoints in use whose answers to entries said that they are leaving. */
 	markLeaving(ids: readonly string[], index: number): boolean {
 		return ids
 			.flatMap(id => this.store.find(id) ?? [])
@@ -104,8 +103,8 @@
 	}
 
 	/**
-	 * Forgets endpoints that have ended; others end by this. Followers that know of the end lose nothing, so nothing is
-	 * sent again to them.
+	 * Forgets endpoints that are gone, and marks others as gone. Followers that have read the end hold nothing obsolete, so nothing is
+	 * sent to them again.
 	 */
 	forget(ids: readonly string[], index: number): boolean {
 		const known = ids.flatMap(id => this.store.find(id) ?? []);
@@ -122,23 +121,23 @@
 			.some(Boolean);
 	}
 
-	/** Records what an engine holds after an order. */
+	/** Records the models and adapters that an engine holds after an order. */
 	recordHoldings(holdings: Holdings, index: number): boolean {
 		return this.replace(applyHoldings(this.store.find(holdings.id), holdings, index), index);
 	}
 
-	/** Records limits that endpoints have named. What an incarnation has named holds for that one only. */
+	/** Records limits that endpoints have announced. A limit holds only for the incarnation that announced it. */
 	recordLimits(limits: readonly RecordedLimit[], index: number): boolean {
 		return limits
 			.map(({endpoint, perSecond}) => {
 				const known = this.store.find(endpoint);
-				const isNews = known && known.phase !== EndpointPhase.Gone && known.limitPerSecond !== perSecond;
-				return isNews ? this.replace({...known, limitPerSecond: perSecond, revision: index}, index) : false;
+				const isChanged = known && known.phase !== EndpointPhase.Gone && known.limitPerSecond !== perSecond;
+				return isChanged ? this.replace({...known, limitPerSecond: perSecond, revision: index}, index) : false;
 			})
 			.some(Boolean);
 	}
 
-	/** Endpoints whose end the first heartbeat of a new incarnation shows: the ones at its address, and the one of its name. */
+	/** Returns the endpoints that the first heartbeat of a new incarnation shows to have ended: those at its address, and the former one of its name. */
 	private listReplaced({id, address}: EndpointReport): FleetEndpoint[] {
 		const current = this.store.findCurrent(parseIncarnation(id).name);
 		return this.list().filter(other => other === current || (other.address === address && other.phase !== EndpointPhase.Gone));
--- a/packages/mastvalve-fleet/src/state/endpoint-store.ts
+++ b/packages/mastvalve-fleet/src/state/endpoint-store.ts
@@ -1,14 +1,13 @@
 /**
- * All endpoints that are remembered, by the identities of their incarnations, and which incarnation of each name was taken in last.
+ * Stores all known endpoints by incarnation identity, and the most recently registered incarnation of each name.
  */
 
 import {parseIncarnation} from './endpoint-incarnation.js';
 import type {FleetEndpoint} from './fleet-endpoint.js';
 
-/** The store. */
 export class EndpointStore {
 	private readonly byId = new Map<string, FleetEndpoint>();
-	/** Identity by name. */
+	/** Identity of the most recently registered incarnation, by name. */
 	private readonly current = new Map<string, string>();
 
 	find(id: string): FleetEndpoint | undefined {
@@ -19,12 +18,12 @@
 		return this.byId.has(id);
 	}
 
-	/** All of them, in the order in which they were first taken in. */
+	/** Returns all endpoints in registration order. */
 	list(): FleetEndpoint[] {
 		return [...this.byId.values()];
 	}
 
-	/** The incarnation of an endpoint that was taken in last. */
+	/** Returns the most recently registered incarnation of an endpoint. */
 	findCurrent(name: string): FleetEndpoint | undefined {
 		const id = this.current.get(name);
 		return id === undefined ? undefined : this.byId.get(id);
--- a/packages/mastvalve-fleet/src/state/fleet-command.ts
+++ b/packages/mastvalve-fleet/src/state/fleet-command.ts
@@ -6,7 +6,6 @@
 import type {StatedConfiguration} from '../configuration/serving-configuration.js';
 import type {EndpointReport, ExpectedLoad} from './fleet-endpoint.js';
 
-/** Kinds of commands. */
 export enum FleetCommandKind {
 	Configure = 'configure',
 	Report = 'report',
@@ -21,30 +20,29 @@
 	RecordLimits = 'record-limits',
 }
 
-/** What orders have changed at an engine, or are about to change. */
+/** What orders have changed on an engine, or are about to change. */
 export type Holdings = {
 	id: string;
-	/** Adapters by model, for the models named. */
+	/** Adapters by model; other models keep theirs. */
 	adapters: Record<string, string[]>;
-	/** The model that goes. */
+	/** Model to be unloaded. */
 	retiring: string | undefined;
-	/** The model that comes. */
+	/** Model being loaded. */
 	loading: ExpectedLoad | undefined;
-	/** Whether orders may be given from now on until the next record. */
+	/** Whether orders may be sent until the next record. */
 	isOrdering: boolean;
 };
 
-/** The limit that an endpoint has named, requests a second; missing when it is over. */
+/** The limit that an endpoint has announced, requests per second; missing once the limit has ended. */
 export type RecordedLimit = {endpoint: string; perSecond?: number};
 
-/** Any command. */
 export type FleetCommand
 	= | {kind: FleetCommandKind.Configure; stated: StatedConfiguration}
 		| {kind: FleetCommandKind.Report; report: EndpointReport}
-		/** The endpoint's name; its incarnation that was taken in last ends. */
+		/** `id` is the endpoint's name; its most recently registered incarnation ends. */
 		| {kind: FleetCommandKind.Leave; id: string}
 		| {kind: FleetCommandKind.MarkSilent; ids: string[]}
-		/** Endpoints whose answers said that they are leaving, whatever their heartbeats say. */
+		/** Endpoints whose answers said that they are leaving, regardless of their heartbeats. */
 		| {kind: FleetCommandKind.MarkLeaving; ids: string[]}
 		| {kind: FleetCommandKind.Forget; ids: string[]}
 		| {kind: FleetCommandKind.RecordHoldings; holdings: Holdings}
--- a/packages/mastvalve-fleet/src/state/fleet-endpoint.ts
+++ b/packages/mastvalve-fleet/src/state/fleet-endpoint.ts
@@ -1,15 +1,15 @@
 /**
- * An endpoint as control knows it.
+ * An endpoint as recorded by control.
  */
 
 import type {WeightSource} from '../engines/weight-source.js';
 
-/** How far an endpoint is between its start and its end. */
+/** Phase in the life cycle of an endpoint. */
 export enum EndpointPhase {
 	Ready = 'ready',
-	/** It has sent no heartbeat for a while; it may still serve. */
+	/** Heartbeats are overdue; it may still serve. */
 	Silent = 'silent',
-	/** It takes no new work. */
+	/** It accepts no new requests. */
 	Leaving = 'leaving',
 	/** It has ended. */
 	Gone = 'gone',
@@ -18,11 +18,11 @@
 /** A model that an engine holds, with its adapters. */
 export type HeldModel = {name: string; adapters: string[]};
 
-/** What an endpoint says of itself in a heartbeat. */
+/** State that an endpoint reports in a heartbeat. */
 export type EndpointReport = {
-	/** Identity of one incarnation of the endpoint (`endpoint-incarnation.ts`); a restart brings a new one. */
+	/** Identity of one incarnation of the endpoint (`endpoint-incarnation.ts`); a restart has a new one. */
 	id: string;
-	/** Rises with every report of one incarnation. */
+	/** Increases with every report of one incarnation. */
 	sequence: number;
 	service: string;
 	/** `ip:port`. */
@@ -32,7 +32,7 @@
 	release: string;
 	slots: number;
 	isLeaving: boolean;
-	/** Time until it is taken away whatever it runs, ms. */
+	/** Time until the endpoint is withdrawn regardless of running requests, ms. */
 	remainingMs: number | undefined;
 	holds: HeldModel[];
 	/** Models whose weights are in its host memory. */
@@ -41,25 +41,25 @@
 	onDisk: string[];
 };
 
-/** A load that control has decided on; time in ms. */
+/** A load that control has planned. */
 export type ExpectedLoad = {model: string; expectedMs: number; source: WeightSource};
 
-/** An endpoint with what control adds. */
+/** A reported endpoint with the state that control adds. */
 export type FleetEndpoint = EndpointReport & {
 	phase: EndpointPhase;
-	/** A model that is about to be unloaded and gets no new requests. */
+	/** Model that is about to be unloaded and gets no new requests. */
 	retiring: string | undefined;
-	/** A model that is on its way, and how long that is expected to take from this revision on. */
+	/** Model being loaded, with the expected duration from this revision on, ms. */
 	loading: ExpectedLoad | undefined;
-	/** Whether an order of control may be on its way or under way. */
+	/** Whether an order of control may be in flight or being executed. */
 	isOrdering: boolean;
-	/** Requests a second that it takes from all entries together; missing while it has named no limit, and in snapshots of earlier versions. */
+	/** Requests per second that it accepts from all entries together; missing without a limit, and in snapshots of earlier versions. */
 	limitPerSecond?: number;
-	/** Log index of the last record of orders; 0 when none was ever given. */
+	/** Log index of the last record of orders; 0 if there was none. */
 	orderedAt: number;
 	/** Log index of the last change. */
 	revision: number;
 };
 
-/** Whether an endpoint takes new requests, as far as control knows. */
+/** Whether an endpoint accepts new requests, according to the record. */
 export const takesRequests = ({phase}: FleetEndpoint): boolean => phase === EndpointPhase.Ready || phase === EndpointPhase.Silent;
--- a/packages/mastvalve-fleet/src/state/fleet-machine.ts
+++ b/packages/mastvalve-fleet/src/state/fleet-machine.ts
@@ -1,8 +1,8 @@
 /**
- * The fleet's state machine: the configuration in force and all endpoints. Deterministic; driven by the replicated log.
+ * State machine of the fleet: the active configuration and all endpoints. Deterministic; driven by the replicated log.
  *
- * A configuration replaces only one with a lower version. An endpoint goes forward only: once it is leaving or gone,
- * no late heartbeat brings it back.
+ * A configuration replaces only one with a lower version. Phases of endpoints only advance: once an endpoint is leaving or
+ * gone, no late heartbeat reverts that.
  */
 
 import {assumeType} from 'mastvalve-utils';
@@ -23,7 +23,7 @@
 	configuredAt: number;
 	/** Missing in snapshots of earlier versions. */
 	history?: HistorySnapshot;
-	/** Up to where endpoints were forgotten; missing in snapshots of earlier versions. */
+	/** Newest position of the forgotten endpoints; missing in snapshots of earlier versions. */
 	forgotten?: FeedPosition;
 	endpoints: FleetEndpoint[];
 	orderHolder: string | undefined;
@@ -31,13 +31,12 @@
 	crashes?: CrashSnapshot;
 };
 
-/** The state machine. */
 export class FleetMachine {
 	/** Log index of the last change. */
 	revision = 0;
 	private stated: StatedConfiguration | undefined;
 	private configuredAt = 0;
-	/** The control instance that gives orders to engines. */
+	/** The control instance that sends orders to engines. */
 	private orderHolder: string | undefined;
 	private readonly endpoints = new EndpointRegistry();
 	private history = new ConfigurationHistory();
@@ -49,7 +48,7 @@
 		return this.stated;
 	}
 
-	/** All endpoints that are not forgotten. */
+	/** Returns all endpoints that are not forgotten. */
 	list(): FleetEndpoint[] {
 		return this.endpoints.list();
 	}
@@ -58,24 +57,24 @@
 		return this.endpoints.find(id);
 	}
 
-	/** Whether a heartbeat is of an endpoint to use (`endpoint-register.ts`), and of a service that the configuration names. */
+	/** Whether a heartbeat is accepted (`endpoint-registry.ts`) and its service is in the configuration. */
 	acceptsReport(report: EndpointReport): boolean {
 		const services = this.stated?.configuration.services;
 		const isServed = services === undefined || services.some(({name}) => name === report.service);
 		return isServed && this.endpoints.acceptsReport(report);
 	}
 
-	/** Whether a heartbeat says anything that the state doesn't; only then it needs the log. */
+	/** Whether a heartbeat would change the state; only then it goes through the log. */
 	changesState(report: EndpointReport): boolean {
 		return this.acceptsReport(report) && changesEndpoint(this.endpoints.find(report.id), report);
 	}
 
-	/** Requests that are not handed to any endpoint, by their fingerprints. */
+	/** Returns the fingerprints of quarantined requests. */
 	listQuarantined(): string[] {
 		return this.crashes.listQuarantined();
 	}
 
-	/** Applies a command. The result is the version held for a configuration, and what is quarantined for crashes. */
+	/** Applies a command. Returns the active version for a configuration, and the newly quarantined fingerprints for crashes. */
 	apply(command: unknown, index: number): unknown {
 		const before = this.revision;
 		const result = this.applyCommand(assumeType<FleetCommand>(command), index);
@@ -88,7 +87,13 @@
 
 	takeSnapshot(): FleetSnapshot {
 		return {
-			stated: this.stated, configuredAt: this.configuredAt, history: this.history.takeSnapshot(), forgotten: this.endpoints.feed.forgottenUpTo, endpoints: this.list(), orderHolder: this.orderHolder, crashes: this.crashes.takeSnapshot(),
+			stated: this.stated,
+			configuredAt: this.configuredAt,
+			history: this.history.takeSnapshot(),
+			forgotten: this.endpoints.feed.forgottenUpTo,
+			endpoints: this.list(),
+			orderHolder: this.orderHolder,
+			crashes: this.crashes.takeSnapshot(),
 		};
 	}
 
@@ -104,24 +109,24 @@
 		this.onChange();
 	}
 
-	/** What changed behind a follower's place, or the first part of it. */
-	changesSince(place: FleetCursor): FleetUpdate {
+	/** Returns the first page of the changes after a follower's cursor. */
+	changesSince(cursor: FleetCursor): FleetUpdate {
 		return {
 			revision: this.revision,
-			endpoints: this.endpoints.feed.readAfter(place.endpoints),
-			configuration: this.history.feed.readAfter(place.configuration),
-			quarantine: this.crashes.feed.readAfter(place.quarantine),
+			endpoints: this.endpoints.feed.readAfter(cursor.endpoints),
+			configuration: this.history.feed.readAfter(cursor.configuration),
+			quarantine: this.crashes.feed.readAfter(cursor.quarantine),
 		};
 	}
 
-	/** Whether there are changes behind a follower's place. */
-	hasChangesSince(place: FleetCursor): boolean {
-		return this.endpoints.feed.hasMore(place.endpoints) || this.history.feed.hasMore(place.configuration) || this.crashes.feed.hasMore(place.quarantine);
+	/** Whether changes follow a follower's cursor. */
+	hasChangesSince(cursor: FleetCursor): boolean {
+		return this.endpoints.feed.hasMore(cursor.endpoints) || this.history.feed.hasMore(cursor.configuration) || this.crashes.feed.hasMore(cursor.quarantine);
 	}
 
-	/** Whether a follower has read changes that this copy of the state lacks yet. */
-	isBehind(place: FleetCursor): boolean {
-		return Math.max(place.endpoints?.revision ?? 0, place.configuration?.revision ?? 0, place.quarantine?.revision ?? 0) > this.revision;
+	/** Whether a follower has read changes that this replica has not applied yet. */
+	isBehind(cursor: FleetCursor): boolean {
+		return Math.max(cursor.endpoints?.revision ?? 0, cursor.configuration?.revision ?? 0, cursor.quarantine?.revision ?? 0) > this.revision;
 	}
 
 	private applyCommand(command: FleetCommand, index: number): unknown {
@@ -131,27 +136,27 @@
 			}
 
 			case FleetCommandKind.Report: {
-				return this.touch(this.acceptsReport(command.report) && this.endpoints.report(command.report, index), index);
+				return this.updateRevision(this.acceptsReport(command.report) && this.endpoints.report(command.report, index), index);
 			}
 
 			case FleetCommandKind.Leave: {
-				return this.touch(this.endpoints.leave(command.id, index), index);
+				return this.updateRevision(this.endpoints.leave(command.id, index), index);
 			}
 
 			case FleetCommandKind.MarkSilent: {
-				return this.touch(this.endpoints.markSilent(command.ids, index), index);
+				return this.updateRevision(this.endpoints.markSilent(command.ids, index), index);
 			}
 
 			case FleetCommandKind.MarkLeaving: {
-				return this.touch(this.endpoints.markLeaving(command.ids, index), index);
+				return this.updateRevision(this.endpoints.markLeaving(command.ids, index), index);
 			}
 
 			case FleetCommandKind.Forget: {
-				return this.touch(this.endpoints.forget(command.ids, index), index);
+				return this.updateRevision(this.endpoints.forget(command.ids, index), index);
 			}
 
 			case FleetCommandKind.RecordHoldings: {
-				return this.touch(this.endpoints.recordHoldings(command.holdings, index), index);
+				return this.updateRevision(this.endpoints.recordHoldings(command.holdings, index), index);
 			}
 
 			case FleetCommandKind.ClaimOrders: {
@@ -165,11 +170,11 @@
 			}
 
 			case FleetCommandKind.ReleaseQuarantine: {
-				return this.touch(this.crashes.release(command.fingerprints, index), index);
+				return this.updateRevision(this.crashes.release(command.fingerprints, index), index);
 			}
 
 			case FleetCommandKind.RecordLimits: {
-				return this.touch(this.endpoints.recordLimits(command.limits, index), index);
+				return this.updateRevision(this.endpoints.recordLimits(command.limits, index), index);
 			}
 		}
 	}
@@ -188,16 +193,16 @@
 		return version;
 	}
 
-	/** What ran at endpoints that crashed is under suspicion. An endpoint that had told that it leaves did not crash. */
+	/** Records the requests that ran on crashed endpoints as suspects. An endpoint that had announced that it leaves did not crash. */
 	private recordCrashes(reports: readonly CrashReport[], index: number): string[] {
 		const quarantined = reports
 			.filter(({endpointId}) => this.endpoints.find(endpointId)?.isLeaving === false)
 			.flatMap(report => this.crashes.record(report, index));
-		this.touch(quarantined.length > 0, index);
+		this.updateRevision(quarantined.length > 0, index);
 		return quarantined;
 	}
 
-	private touch(isChanged: boolean, index: number): boolean {
+	private updateRevision(isChanged: boolean, index: number): boolean {
 		this.revision = isChanged ? index : this.revision;
 		return isChanged;
 	}
--- a/packages/mastvalve-fleet/src/state/fleet-update.ts
+++ b/packages/mastvalve-fleet/src/state/fleet-update.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry gets when it follows the fleet.
+ * Updates that an entry receives when it follows the fleet.
  */
 
 import type {ConfigurationChange} from '../configuration/configuration-change.js';
@@ -7,12 +7,12 @@
 import type {FeedCursor, FeedPage} from './change-feed.js';
 import type {FleetEndpoint} from './fleet-endpoint.js';
 
-/** How far a follower has read; nothing of what it hasn't begun. */
+/** A follower's position in each feed; missing for a feed that it has not started to read. */
 export type FleetCursor = {endpoints?: FeedCursor; configuration?: FeedCursor; quarantine?: FeedCursor};
 
-/** The changes behind a follower's place, or the first part of them. None waits for the others. */
+/** The first page of changes after a follower's cursor in each feed. The feeds advance independently. */
 export type FleetUpdate = {
-	/** Revision of the state that this part was taken from. */
+	/** Revision of the state from which the pages were read. */
 	revision: number;
 	endpoints: FeedPage<FleetEndpoint>;
 	configuration: FeedPage<ConfigurationChange>;
