--- a/packages/mastvalve-bench/src/placement/placement-bench.ts
+++ b/packages/mastvalve-bench/src/placement/placement-bench.ts
@@ -4,7 +4,7 @@
 
 import {createEmptyConfiguration, diffConfigurations} from 'mastvalve-configuration';
 import {joinEndpoint, placeAssignments, restoreCoverage} from 'mastvalve-control';
-import {listChangedPlacements, noKnowledge, planConfiguration} from 'mastvalve-intents';
+import {listChangedPlacements, noForecast, planConfiguration} from 'mastvalve-intents';
 import {ServiceKind, type Configuration} from 'mastvalve-types';
 import {keyBy} from 'mastvalve-utils';
 import type {BenchTable} from '../log/log-bench.js';
@@ -35,7 +35,7 @@
 	const placed = restoreCoverage(empty);
 	const firstMs = performance.now() - startedAt;
 	const steadyAt = performance.now();
-	const {assignments} = planConfiguration(placed, {...noKnowledge, demandOf: model => Number(model.slice('model-'.length)) % 7});
+	const {assignments} = planConfiguration(placed, {...noForecast, demandOf: model => Number(model.slice('model-'.length)) % 7});
 	const changed = listChangedPlacements(placed, assignments);
 	const steadyMs = performance.now() - steadyAt;
 	const changeAt = performance.now();
--- a/packages/mastvalve-bench/src/policy/run-policy.ts
+++ b/packages/mastvalve-bench/src/policy/run-policy.ts
@@ -3,7 +3,7 @@
  * decision code of each.
  */
 
-import {memoryOfModel} from 'mastvalve-configuration';
+import {computeModelMemory} from 'mastvalve-configuration';
 import {
 	changeEndpoints, DemandEstimate, placeAssignments, recordLoaded, restoreCoverage,
 } from 'mastvalve-control';
@@ -114,7 +114,7 @@
 			store: this.store,
 			capacity: this.shape.capacity,
 			random: createRandom(this.options.seed + 100 + index),
-			sizeOf: name => memoryOfModel(this.committed.models[name] ?? {
+			sizeOf: name => computeModelMemory(this.committed.models[name] ?? {
 				name, service: '', size: 0, adapters: [], minReplicas: 0,
 			}),
 			loadMsOf: name => models.get(name)?.loadMs ?? 0,
--- a/packages/mastvalve-configuration/src/adoption.ts
+++ b/packages/mastvalve-configuration/src/adoption.ts
@@ -1,20 +1,20 @@
 /**
- * Taking over an update: never an older one, never one of another cluster, never one with a gap.
+ * Applies updates to a configuration: never an older one, one of another cluster or one with a gap.
  */
 
 import {MastvalveError, type Configuration, type ConfigurationUpdate} from 'mastvalve-types';
 import {err, ok, type Result} from 'neverthrow';
 import {applyChange} from './changes.js';
 
-/** The decision on which "never backwards" rests, as a function so that proofs can hand in a broken one. */
+/** Rule that keeps revisions monotonic, as a parameter so that proofs can inject a faulty one. */
 export type AdoptionRules = {
 	isNewer: (offered: number, current: number) => boolean;
 };
 
-/** Only higher revisions are taken. */
+/** Accepts higher revisions only. */
 export const defaultAdoptionRules: AdoptionRules = {isNewer: (offered, current) => offered > current};
 
-/** The update comes from another replicated log than what is in force. */
+/** Thrown when an update is from another replicated log than the configuration in force. */
 export class ForeignConfigurationError extends MastvalveError {
 	constructor(offered: string, current: string) {
 		super('foreign-configuration', `The upstream serves cluster ${offered}, and this process follows ${current}. `
@@ -23,7 +23,7 @@
 	}
 }
 
-/** The configuration after an update; the same object when there is nothing newer in it. */
+/** Returns the configuration after an update; the same object if the update has nothing newer. */
 export const adoptUpdate = (
 	current: Configuration | undefined,
 	update: ConfigurationUpdate,
--- a/packages/mastvalve-configuration/src/changes.ts
+++ b/packages/mastvalve-configuration/src/changes.ts
@@ -1,6 +1,6 @@
 /**
- * Differences between configurations. Collections are compared by identity first, so that a difference costs as much
- * as what changed, not as much as there is.
+ * Differences between configurations. Collections are compared by identity first, so that the cost depends on the size of the change and
+ * not on the size of the configuration.
  */
 
 import type {
@@ -8,7 +8,6 @@
 } from 'mastvalve-types';
 import {formatCanonically} from 'mastvalve-utils';
 
-/** All keyed collections. */
 export const collectionNames: readonly CollectionName[] = ['services', 'models', 'events', 'endpoints', 'placements'];
 
 const isSame = (a: unknown, b: unknown): boolean => a === b || formatCanonically(a) === formatCanonically(b);
@@ -23,7 +22,7 @@
 	return Object.keys(put).length > 0 || removed.length > 0 ? {put, removed} : undefined;
 };
 
-/** What leads from one configuration to the next. */
+/** Returns the change from one configuration to the next. */
 export const diffConfigurations = (before: Configuration, after: Configuration): ConfigurationChange => ({
 	base: before.revision,
 	revision: after.revision,
@@ -33,7 +32,7 @@
 		.filter(([, change]) => change !== undefined)),
 });
 
-/** Whether a change changes nothing besides the revision. */
+/** Whether a change affects nothing besides the revision. */
 export const isEmptyChange = (change: ConfigurationChange): boolean => Object.keys(change.collections).length === 0;
 
 const applyToCollection = <T>(collection: Record<string, T>, change: CollectionChange<T> | undefined): Record<string, T> => {
@@ -46,7 +45,7 @@
 	return {...kept, ...change.put};
 };
 
-/** The configuration after a change; the input is left alone. */
+/** Returns the configuration after a change, without modifying the input. */
 export const applyChange = (configuration: Configuration, change: ConfigurationChange): Configuration => ({
 	clusterId: configuration.clusterId,
 	revision: change.revision,
--- a/packages/mastvalve-configuration/src/configuration-store.ts
+++ b/packages/mastvalve-configuration/src/configuration-store.ts
@@ -1,5 +1,5 @@
 /**
- * Holds the configuration in force in one process, with its latest changes, and wakes those who wait for the next.
+ * Holds the configuration in force of one process with its latest changes, and notifies listeners of updates.
  */
 
 import type {Configuration, ConfigurationChange, ConfigurationUpdate} from 'mastvalve-types';
@@ -9,15 +9,14 @@
 } from './adoption.js';
 import {diffConfigurations, isEmptyChange} from './changes.js';
 
-/** Changes that are kept for those who are a little behind. */
+/** Changes that are retained for followers that are slightly behind. */
 const defaultKeptChanges = 1000;
 
-/** Bytes of JSON that the kept changes may have in all; a change of a crowded endpoint alone can have many. */
+/** Limit on the JSON of all retained changes; a single change of an endpoint with many models can be large. */
 const maxKeptBytes = 2_000_000;
 
 type KeptChange = {change: ConfigurationChange; bytes: number};
 
-/** One process's configuration. */
 export class ConfigurationStore {
 	private configuration: Configuration | undefined;
 	private changes: KeptChange[] = [];
@@ -29,17 +28,17 @@
 		private readonly keptChanges = defaultKeptChanges,
 	) {}
 
-	/** What is in force here; undefined before the first. */
+	/** Configuration in force; undefined before the first. */
 	get current(): Configuration | undefined {
 		return this.configuration;
 	}
 
-	/** The revision in force here; -1 before the first. */
+	/** Revision in force; -1 before the first. */
 	get revision(): number {
 		return this.configuration?.revision ?? -1;
 	}
 
-	/** Control's way in: a configuration that was just committed. */
+	/** Publishes a newly committed configuration. Called by control. */
 	publish(next: Configuration): void {
 		if (this.configuration && next.revision <= this.configuration.revision) {
 			return;
@@ -53,7 +52,7 @@
 		this.replace(next, change ? [change] : []);
 	}
 
-	/** The way in of all others: an update from an upstream. True when something newer was taken. */
+	/** Applies an update from an upstream. Called by all other processes. Returns whether the configuration has changed. */
 	adopt(update: ConfigurationUpdate): Result<boolean, ForeignConfigurationError> {
 		return adoptUpdate(this.configuration, update, this.rules).map(next => {
 			if (!next || next === this.configuration) {
@@ -66,8 +65,8 @@
 		});
 	}
 
-	/** What came after a revision; undefined when nothing did. */
-	readAfter(revision: number): ConfigurationUpdate | undefined {
+	/** Returns the update since a revision; undefined if there is none. */
+	readUpdateAfter(revision: number): ConfigurationUpdate | undefined {
 		const {configuration} = this;
 		if (!configuration || revision >= configuration.revision) {
 			return undefined;
@@ -79,7 +78,7 @@
 			: {clusterId: configuration.clusterId, changes: this.changes.slice(first).map(({change}) => change)};
 	}
 
-	/** Calls back after every change until the returned function is called. */
+	/** Calls the listener after each change until the returned function is called. */
 	subscribe(listener: () => void): () => void {
 		this.listeners.add(listener);
 		return () => {
@@ -87,8 +86,8 @@
 		};
 	}
 
-	/** Waits until there is something after a revision; undefined when the signal aborts first. */
-	async waitAfter(revision: number, signal: AbortSignal): Promise<ConfigurationUpdate | undefined> {
+	/** Waits for an update since a revision; undefined if the signal aborts first. */
+	async waitForUpdateAfter(revision: number, signal: AbortSignal): Promise<ConfigurationUpdate | undefined> {
 		return new Promise(resolve => {
 			const finish = (update: ConfigurationUpdate | undefined) => {
 				unsubscribe();
@@ -101,7 +100,7 @@
 			};
 
 			const onChange = () => {
-				const update = this.readAfter(revision);
+				const update = this.readUpdateAfter(revision);
 				if (update) {
 					finish(update);
 				}
@@ -133,7 +132,7 @@
 		}
 	}
 
-	/** `changes` undefined means that the steps between are not known. */
+	/** `changes` is undefined if the intermediate changes are not known. */
 	private replace(next: Configuration, changes: ConfigurationChange[] | undefined): void {
 		this.configuration = next;
 		this.keepChanges(changes);
--- a/packages/mastvalve-configuration/src/empty-configuration.ts
+++ b/packages/mastvalve-configuration/src/empty-configuration.ts
@@ -1,10 +1,10 @@
 /**
- * The configuration before anything was declared.
+ * Initial configuration.
  */
 
 import type {Configuration} from 'mastvalve-types';
 
-/** A configuration at revision 0. */
+/** Returns an empty configuration at revision 0. */
 export const createEmptyConfiguration = (clusterId: string): Configuration => ({
 	clusterId,
 	revision: 0,
--- a/packages/mastvalve-configuration/src/index.ts
+++ b/packages/mastvalve-configuration/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The versioned configuration: its changes, how they are taken over, and who waits for them.
+ * Versioned configuration: changes, their adoption, and notification of followers.
  */
 
 export * from './adoption.js';
--- a/packages/mastvalve-configuration/src/lookups.ts
+++ b/packages/mastvalve-configuration/src/lookups.ts
@@ -1,5 +1,5 @@
 /**
- * Questions that programs ask of a configuration.
+ * Queries on a configuration.
  */
 
 import {
@@ -7,29 +7,28 @@
 } from 'mastvalve-types';
 import {sumOf} from 'mastvalve-utils';
 
-/** Memory of a model with its adapters. */
-export const memoryOfModel = (model: Model): number => model.size + sumOf(model.adapters, adapter => adapter.size);
+/** Returns the memory of a model including its adapters. */
+export const computeModelMemory = (model: Model): number => model.size + sumOf(model.adapters, adapter => adapter.size);
 
-/** The model that serves a name; adapters are named as models. */
+/** Finds the model that serves a name, which may be that of a model or an adapter. */
 export const findServingModel = (configuration: Configuration, name: string): Model | undefined =>
 	configuration.models[name]
 	?? Object.values(configuration.models).find(model => model.adapters.some(adapter => adapter.name === name));
 
-/** Live endpoints of a service. */
 export const listLiveEndpoints = (configuration: Configuration, service: string): Endpoint[] =>
 	Object.values(configuration.endpoints).filter(endpoint => endpoint.service === service && endpoint.state === EndpointState.Live);
 
-/** What an endpoint shall hold in its present incarnation. */
+/** Lists the assignments of an endpoint in its current incarnation. */
 export const listAssignments = (configuration: Configuration, endpoint: Endpoint): Assignment[] => {
 	const placement = configuration.placements[endpoint.id];
 	return placement?.incarnation === endpoint.incarnation ? placement.assignments : [];
 };
 
-/** Accelerator memory that assignments may take at once: all residents and the largest on demand. */
-export const memoryOfAssignments = (configuration: Pick<Configuration, 'models'>, assignments: readonly Assignment[]): number => {
+/** Returns the peak accelerator memory of assignments: all residents plus the largest on-demand model. */
+export const computeAssignedMemory = (configuration: Pick<Configuration, 'models'>, assignments: readonly Assignment[]): number => {
 	const sizeOf = (assignment: Assignment): number => {
 		const model = configuration.models[assignment.model];
-		return model ? memoryOfModel(model) : 0;
+		return model ? computeModelMemory(model) : 0;
 	};
 
 	const residents = assignments.filter(assignment => assignment.mode === AssignmentMode.Resident);
@@ -37,15 +36,15 @@
 	return sumOf(residents, sizeOf) + Math.max(0, ...onDemand.map(sizeOf));
 };
 
-/** Names that callers may ask for: models, then adapters. */
+/** Lists the names that callers may request: each model followed by its adapters. */
 export const listCallableNames = (configuration: Configuration): string[] =>
 	Object.values(configuration.models).flatMap(model => [model.name, ...model.adapters.map(adapter => adapter.name)]);
 
 /**
- * A new placement with the proofs of the one in force. Whoever made the placement may have seen an older state, so what
- * it says of loaded models counts for nothing.
+ * Returns a new placement with the confirmed loads of the one in force. The placement may have been computed from an older state, so its
+ * own list of loaded models is ignored.
  */
-export const keepProofs = (configuration: Configuration, placement: Placement): Placement => {
+export const keepConfirmedLoads = (configuration: Configuration, placement: Placement): Placement => {
 	const known = configuration.placements[placement.endpointId];
 	const proved = known?.incarnation === placement.incarnation ? known.loaded : [];
 	const residents = new Set(placement.assignments.filter(assignment => assignment.mode === AssignmentMode.Resident).map(assignment => assignment.model));
--- a/packages/mastvalve-control/src/server/control-handlers.ts
+++ b/packages/mastvalve-control/src/server/control-handlers.ts
@@ -42,7 +42,7 @@
 /** What entries and sidecars ask. */
 export const createUpstreamHandlers = (parts: ControlParts): UpstreamHandlers => ({
 	async follow({revision, waitMs}) {
-		const update = await parts.store.waitAfter(revision, AbortSignal.timeout(Math.min(waitMs, maxFollowWaitMs)));
+		const update = await parts.store.waitForUpdateAfter(revision, AbortSignal.timeout(Math.min(waitMs, maxFollowWaitMs)));
 		const clusterId = parts.store.current?.clusterId;
 		return clusterId === undefined
 			? err(new ControlUnavailableError('Control has no configuration yet.'))
--- a/packages/mastvalve-control/src/state/endpoint-changes.ts
+++ b/packages/mastvalve-control/src/state/endpoint-changes.ts
@@ -2,9 +2,9 @@
  * Changes of endpoints in the configuration, as pure functions.
  */
 
-import {keepProofs, memoryOfAssignments} from 'mastvalve-configuration';
+import {keepConfirmedLoads, computeAssignedMemory} from 'mastvalve-configuration';
 import type {JoinRequest} from 'mastvalve-http';
-import {listChangedPlacements, noKnowledge, planConfiguration} from 'mastvalve-intents';
+import {listChangedPlacements, noForecast, planConfiguration} from 'mastvalve-intents';
 import {
 	AssignmentMode, EndpointState, type Configuration, type Endpoint, type Placement,
 } from 'mastvalve-types';
@@ -22,7 +22,7 @@
 
 	const endpoint: Endpoint = {...request, incarnation: revision, state: EndpointState.Live};
 	const former = configuration.placements[request.id];
-	const mayKeep = former && known?.service === request.service && memoryOfAssignments(configuration, former.assignments) <= request.capacity;
+	const mayKeep = former && known?.service === request.service && computeAssignedMemory(configuration, former.assignments) <= request.capacity;
 	const placements = mayKeep
 		? putKey(configuration.placements, request.id, {...former, incarnation: revision, loaded: []})
 		: omitKey(configuration.placements, request.id);
@@ -60,9 +60,9 @@
 export const placeAssignments = (configuration: Configuration, placements: readonly Placement[], revision: number): Configuration => {
 	const valid = placements.filter(placement => {
 		const endpoint = configuration.endpoints[placement.endpointId];
-		return endpoint?.incarnation === placement.incarnation && memoryOfAssignments(configuration, placement.assignments) <= endpoint.capacity;
+		return endpoint?.incarnation === placement.incarnation && computeAssignedMemory(configuration, placement.assignments) <= endpoint.capacity;
 	});
-	const next = {...configuration, revision, placements: {...configuration.placements, ...keyBy(valid.map(placement => keepProofs(configuration, placement)), placement => placement.endpointId)}};
+	const next = {...configuration, revision, placements: {...configuration.placements, ...keyBy(valid.map(placement => keepConfirmedLoads(configuration, placement)), placement => placement.endpointId)}};
 	return valid.length === 0 || losesCoverage(configuration, next) ? configuration : next;
 };
 
@@ -85,7 +85,7 @@
 
 /** Gives every model a place that lost its last one, at the same revision. */
 export const restoreCoverage = (configuration: Configuration): Configuration => {
-	const {assignments} = planConfiguration(configuration, noKnowledge);
+	const {assignments} = planConfiguration(configuration, noForecast);
 	const changed = listChangedPlacements(configuration, assignments);
 	return changed.length === 0
 		? configuration
--- a/packages/mastvalve-entry/src/server/start-entry.ts
+++ b/packages/mastvalve-entry/src/server/start-entry.ts
@@ -159,7 +159,7 @@
 			const latest = await this.upstream.readLatest();
 			if (latest.isOk()) {
 				// eslint-disable-next-line no-await-in-loop
-				await this.store.waitAfter(latest.value - 1, signal);
+				await this.store.waitForUpdateAfter(latest.value - 1, signal);
 				this.isSynced = !signal.aborted;
 				this.options.context.timeline.record('configuration.synchronized', `revision ${this.store.revision}`);
 			} else {
@@ -183,7 +183,7 @@
 	private createUpstreamHandlers(): UpstreamHandlers {
 		return {
 			follow: async ({revision, waitMs}) => {
-				const update = await this.store.waitAfter(revision, AbortSignal.any([this.ending.signal, AbortSignal.timeout(Math.min(waitMs, maxFollowWaitMs))]));
+				const update = await this.store.waitForUpdateAfter(revision, AbortSignal.any([this.ending.signal, AbortSignal.timeout(Math.min(waitMs, maxFollowWaitMs))]));
 				const clusterId = this.store.current?.clusterId;
 				return clusterId === undefined || this.ending.signal.aborted
 					? err(new ControlUnavailableError('This entry has no configuration yet, or is stopping.'))
--- a/packages/mastvalve-intents/src/confirm-plan.ts
+++ b/packages/mastvalve-intents/src/confirm-plan.ts
@@ -1,16 +1,16 @@
 /**
- * Confirming a plan: exactly what was reviewed, or nothing.
+ * Confirms plans: applies exactly what was reviewed, or nothing.
  */
 
 import {MastvalveError, type Configuration} from 'mastvalve-types';
-import {keepProofs} from 'mastvalve-configuration';
+import {keepConfirmedLoads} from 'mastvalve-configuration';
 import {keyBy} from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
 import {declareIntent} from './intent-to-configuration.js';
 import {makePlan} from './make-plan.js';
 import type {Plan} from './plan.js';
 
-/** The version on which a plan rests is no longer the one in force. */
+/** Thrown when the base version of a plan is no longer in force. */
 export class VersionConflictError extends MastvalveError {
 	constructor(base: number, current: number) {
 		super('version-conflict', `The plan rests on version ${base}, and version ${current} has been confirmed since. Nothing was changed. `
@@ -19,7 +19,7 @@
 	}
 }
 
-/** Endpoints came or went since the review, so that the plan would now do something else. */
+/** Thrown when endpoints have joined or left since the review, so that the plan would now have another effect. */
 export class PlanChangedError extends MastvalveError {
 	constructor(reviewed: string, current: string) {
 		super('plan-changed', `Endpoints have changed since plan ${reviewed.slice(0, 12)} was reviewed. Nothing was changed. Review plan ${current.slice(0, 12)} and confirm that one.`, {status: 409});
@@ -27,7 +27,7 @@
 	}
 }
 
-/** The plan breaks a promise. */
+/** Thrown when a plan has refusals. */
 export class PlanRefusedError extends MastvalveError {
 	constructor(refusals: readonly string[]) {
 		super('plan-refused', `The plan can't be confirmed: ${refusals.join('; ')}. Nothing was changed. Change the intent or add endpoints, and state it again.`, {status: 422});
@@ -35,7 +35,7 @@
 	}
 }
 
-/** The configuration after confirming a plan at a revision. */
+/** Returns the configuration after confirming a plan, at the given revision. */
 export const confirmPlan = (configuration: Configuration, plan: Plan, revision: number): Result<Configuration, MastvalveError> => {
 	if (plan.baseVersion !== configuration.version) {
 		return err(new VersionConflictError(plan.baseVersion, configuration.version));
@@ -55,6 +55,6 @@
 		...declared,
 		revision,
 		version: configuration.version + 1,
-		placements: {...declared.placements, ...keyBy(plan.placements.map(placement => keepProofs(configuration, placement)), placement => placement.endpointId)},
+		placements: {...declared.placements, ...keyBy(plan.placements.map(placement => keepConfirmedLoads(configuration, placement)), placement => placement.endpointId)},
 	});
 };
--- a/packages/mastvalve-intents/src/intent-to-configuration.ts
+++ b/packages/mastvalve-intents/src/intent-to-configuration.ts
@@ -1,11 +1,11 @@
 /**
- * From intents to configurations and back.
+ * Applies the declarations of an intent to a configuration.
  */
 
 import type {Configuration, Intent} from 'mastvalve-types';
 import {formatCanonically, keyBy} from 'mastvalve-utils';
 
-/** A collection after an intent; unchanged items keep their identity, so that differences stay small. */
+/** Returns a collection after an intent; unchanged items keep their object identity, so that differences stay small. */
 const mergeCollection = <T extends {name: string}>(before: Record<string, T>, items: T[]): Record<string, T> =>
 	keyBy(
 		items.map(item => {
@@ -15,7 +15,7 @@
 		item => item.name,
 	);
 
-/** The configuration with the intent's declarations in place of the former ones. */
+/** Returns the configuration with the declarations of the intent in place of the previous ones. */
 export const declareIntent = (configuration: Configuration, intent: Intent): Configuration => ({
 	...configuration,
 	services: mergeCollection(configuration.services, intent.services),
--- a/packages/mastvalve-intents/src/make-plan.ts
+++ b/packages/mastvalve-intents/src/make-plan.ts
@@ -1,39 +1,39 @@
 /**
- * Making a plan: pure and deterministic, so that every replica of the log makes the same from the same state.
+ * Creates plans. Pure and deterministic, so that every replica of the log creates the same plan from the same state.
  */
 
-import {listAssignments, memoryOfAssignments, memoryOfModel} from 'mastvalve-configuration';
+import {listAssignments, computeAssignedMemory, computeModelMemory} from 'mastvalve-configuration';
 import {doEventsOverlap} from 'mastvalve-placement';
 import {
 	AssignmentMode, EndpointState, type Assignment, type Configuration, type DeclaredEvent, type Endpoint, type Intent,
 } from 'mastvalve-types';
 import {compareText, hashCanonically, sumOf} from 'mastvalve-utils';
 import {declareIntent} from './intent-to-configuration.js';
-import {listChangedPlacements, noKnowledge, planConfiguration} from './placement-of-configuration.js';
+import {listChangedPlacements, noForecast, planConfiguration} from './plan-configuration.js';
 import {
 	MoveKind, type EndpointMemory, type EventMemory, type Plan, type PlannedMove, type Reachability,
 } from './plan.js';
 
-/** Minutes before an event at which its replicas begin to load. */
+/** Lead time before an event at which its replicas start to load. */
 export const eventLeadMinutes = 15;
 
-/** Makes the plan that confirming an intent would carry out. */
+/** Creates the plan for an intent. */
 export const makePlan = (configuration: Configuration, intent: Intent): Plan => {
 	const declared = declareIntent(configuration, intent);
-	const {assignments, shortfalls} = planConfiguration(declared, noKnowledge);
+	const {assignments, shortfalls} = planConfiguration(declared, noForecast);
 	const modelEndpoints = Object.values(configuration.endpoints)
 		.filter(endpoint => endpoint.state === EndpointState.Live && endpoint.capacity > 0)
 		.toSorted((a, b) => compareText(a.id, b.id));
 	const content = {
 		baseVersion: configuration.version,
 		intent,
-		// Loads that end between review and confirmation don't change what was reviewed.
+		// Loads that complete between review and confirmation don't change the plan.
 		placements: listChangedPlacements(declared, assignments).map(placement => ({...placement, loaded: []})),
 		moves: modelEndpoints.flatMap(endpoint => listMoves(endpoint, listAssignments(configuration, endpoint), assignments[endpoint.id] ?? [])),
 		memory: modelEndpoints.map(endpoint => describeMemory(configuration, declared, endpoint, assignments[endpoint.id] ?? [])),
-		events: intent.events.map(event => describeEvent(declared, event)),
+		events: intent.events.map(event => describeEventMemory(declared, event)),
 		reachability: listReachability(declared, assignments),
-		refusals: [...shortfalls, ...intent.events.flatMap(event => refuseEvent(declared, event, intent.events))],
+		refusals: [...shortfalls, ...intent.events.flatMap(event => listEventRefusals(declared, event, intent.events))],
 	};
 	return {id: hashCanonically(content), ...content};
 };
@@ -59,29 +59,29 @@
 const describeMemory = (before: Configuration, after: Configuration, endpoint: Endpoint, assignments: Assignment[]): EndpointMemory => ({
 	endpointId: endpoint.id,
 	capacity: endpoint.capacity,
-	before: memoryOfAssignments(before, listAssignments(before, endpoint)),
-	after: memoryOfAssignments(after, assignments),
+	before: computeAssignedMemory(before, listAssignments(before, endpoint)),
+	after: computeAssignedMemory(after, assignments),
 });
 
-const describeEvent = (configuration: Configuration, event: DeclaredEvent): EventMemory => ({
+const describeEventMemory = (configuration: Configuration, event: DeclaredEvent): EventMemory => ({
 	event: event.name,
 	claimed: sumOf(event.models, entry => {
 		const model = configuration.models[entry.model];
-		return model ? memoryOfModel(model) * entry.replicas : 0;
+		return model ? computeModelMemory(model) * entry.replicas : 0;
 	}),
 	allowed: event.memory,
 });
 
-/** An event must fit into what it may claim, and into the endpoints together with all events that overlap it. */
-const refuseEvent = (configuration: Configuration, event: DeclaredEvent, events: DeclaredEvent[]): string[] => {
-	const {claimed, allowed} = describeEvent(configuration, event);
+/** Lists refusals: an event must fit into its allowed memory, and into the endpoints together with all overlapping events. */
+const listEventRefusals = (configuration: Configuration, event: DeclaredEvent, events: DeclaredEvent[]): string[] => {
+	const {claimed, allowed} = describeEventMemory(configuration, event);
 	const overClaim = claimed > allowed ? [`event ${event.name} claims ${claimed} of memory and may claim ${allowed}`] : [];
 	const together = events.filter(other => other === event || doEventsOverlap(event, other, eventLeadMinutes));
 	const models = Object.fromEntries(Object.entries(configuration.models).map(([name, model]) => {
 		const replicas = Math.max(model.minReplicas, ...together.flatMap(other => other.models).filter(entry => entry.model === name).map(entry => entry.replicas));
 		return [name, {...model, minReplicas: replicas}];
 	}));
-	const {shortfalls} = planConfiguration({...configuration, models}, noKnowledge);
+	const {shortfalls} = planConfiguration({...configuration, models}, noForecast);
 	return [...overClaim, ...shortfalls.map(shortfall => `during event ${event.name}: ${shortfall}`)];
 };
 
--- a/packages/mastvalve-intents/src/placement-of-configuration.ts
+++ b/packages/mastvalve-intents/src/plan-configuration.ts
@@ -1,34 +1,33 @@
 /**
- * Placement's input from a configuration, and its result back into one.
+ * Plans the placement of a configuration.
  */
 
-import {memoryOfModel, listAssignments} from 'mastvalve-configuration';
+import {computeModelMemory, listAssignments} from 'mastvalve-configuration';
 import {planPlacement, type PlacementInput, type PlacementResult} from 'mastvalve-placement';
 import {
 	EndpointState, type Assignment, type Configuration, type Placement,
 } from 'mastvalve-types';
 import {compareText, formatCanonically} from 'mastvalve-utils';
 
-/** What is known besides the configuration. */
-export type PlacementKnowledge = {
-	/** Expected requests a second. */
+/** Inputs of placement besides the configuration. */
+export type PlacementForecast = {
+	/** Returns the expected requests per second. */
 	demandOf: (model: string) => number;
-	/** Replicas worth having, given how many there are and must be. */
+	/** Returns the wanted replicas, given the current and the required number. */
 	wantedReplicasOf: (model: string, current: number, minimum: number) => number;
 	loadBudget: number;
 	moveWeight: number;
 };
 
-/** Knows nothing but the configuration: what a plan is made with, so that every replica makes the same. */
-export const noKnowledge: PlacementKnowledge = {
+/** Depends on the configuration only, so that every replica of the log creates the same plan. */
+export const noForecast: PlacementForecast = {
 	demandOf: () => 0,
 	wantedReplicasOf: (_model, _current, minimum) => minimum,
 	loadBudget: Number.POSITIVE_INFINITY,
 	moveWeight: 0,
 };
 
-/** Placement's input. */
-export const toPlacementInput = (configuration: Configuration, knowledge: PlacementKnowledge): PlacementInput => {
+export const toPlacementInput = (configuration: Configuration, forecast: PlacementForecast): PlacementInput => {
 	const live = Object.values(configuration.endpoints)
 		.filter(endpoint => endpoint.state === EndpointState.Live && endpoint.capacity > 0)
 		.toSorted((a, b) => compareText(a.id, b.id));
@@ -47,17 +46,17 @@
 	const models = Object.values(configuration.models).map(model => ({
 		name: model.name,
 		service: model.service,
-		size: memoryOfModel(model),
+		size: computeModelMemory(model),
 		minReplicas: model.minReplicas,
-		wantedReplicas: knowledge.wantedReplicasOf(model.name, replicasOf.get(model.name) ?? 0, model.minReplicas),
-		demand: knowledge.demandOf(model.name),
+		wantedReplicas: forecast.wantedReplicasOf(model.name, replicasOf.get(model.name) ?? 0, model.minReplicas),
+		demand: forecast.demandOf(model.name),
 	}));
 	return {
-		models, endpoints, loadBudget: knowledge.loadBudget, moveWeight: knowledge.moveWeight,
+		models, endpoints, loadBudget: forecast.loadBudget, moveWeight: forecast.moveWeight,
 	};
 };
 
-/** Placements that differ from what the configuration has. */
+/** Lists the placements that differ from those of the configuration. */
 export const listChangedPlacements = (configuration: Configuration, assignments: Record<string, Assignment[]>): Placement[] =>
 	Object.entries(assignments)
 		.filter(([endpointId, assigned]) => !isInForce(configuration, endpointId, assigned))
@@ -71,7 +70,7 @@
 		})
 		.toSorted((a, b) => compareText(a.endpointId, b.endpointId));
 
-/** Whether an endpoint has these assignments already; the same array is the common case. */
+/** Whether an endpoint already has these assignments; identical arrays are the common case. */
 const isInForce = (configuration: Configuration, endpointId: string, assigned: Assignment[]): boolean => {
 	const known = configuration.placements[endpointId];
 	if (known?.incarnation !== configuration.endpoints[endpointId]?.incarnation) {
@@ -81,6 +80,5 @@
 	return assigned === known?.assignments || formatCanonically(assigned) === formatCanonically(known?.assignments ?? []);
 };
 
-/** Plans the placement of a configuration. */
-export const planConfiguration = (configuration: Configuration, knowledge: PlacementKnowledge): PlacementResult =>
-	planPlacement(toPlacementInput(configuration, knowledge));
+export const planConfiguration = (configuration: Configuration, forecast: PlacementForecast): PlacementResult =>
+	planPlacement(toPlacementInput(configuration, forecast));
--- a/packages/mastvalve-intents/src/plan.ts
+++ b/packages/mastvalve-intents/src/plan.ts
@@ -1,18 +1,16 @@
 /**
- * A plan: what confirming an intent would do.
+ * Plans: the effects of confirming an intent.
  */
 
 import type {AssignmentMode, Intent, Placement} from 'mastvalve-types';
 
-/** What happens to a model at an endpoint. */
 export enum MoveKind {
 	Load = 'load',
 	Unload = 'unload',
-	/** From resident to on demand or back; nothing is loaded or unloaded by it at once. */
+	/** From resident to on demand or vice versa; does not load or unload anything immediately. */
 	ChangeMode = 'change-mode',
 }
 
-/** One step of a plan. */
 export type PlannedMove = {
 	kind: MoveKind;
 	model: string;
@@ -31,26 +29,26 @@
 /** Memory that a declared event claims. */
 export type EventMemory = {
 	event: string;
-	/** What its replicas take. */
+	/** Memory of its replicas. */
 	claimed: number;
-	/** What the intent allows it. */
+	/** Memory that the intent allows. */
 	allowed: number;
 };
 
-/** How a model or adapter becomes reachable. */
+/** How a model or adapter is reachable under a plan. */
 export type Reachability = {
 	name: string;
-	/** The model that serves it; itself unless it is an adapter. */
+	/** Model that serves the name; the same name unless it is an adapter. */
 	model: string;
 	mode: AssignmentMode;
 	endpoints: string[];
 };
 
-/** What an operator reviews. */
+/** Plan that an operator reviews. */
 export type Plan = {
-	/** Hash of all the rest: a confirmation names exactly what was reviewed. */
+	/** Hash of the other fields, so that a confirmation refers to exactly what was reviewed. */
 	id: string;
-	/** Version of the configuration on which it rests. */
+	/** Version of the configuration that the plan is based on. */
 	baseVersion: number;
 	intent: Intent;
 	placements: Placement[];
@@ -58,6 +56,6 @@
 	memory: EndpointMemory[];
 	events: EventMemory[];
 	reachability: Reachability[];
-	/** Why it can't be confirmed; empty when it can. */
+	/** Reasons why the plan can't be confirmed; empty if it can. */
 	refusals: string[];
 };
--- a/packages/mastvalve-placement/src/placement-input.ts
+++ b/packages/mastvalve-placement/src/placement-input.ts
@@ -1,48 +1,45 @@
 /**
- * What placement decides on: plain data, no clocks and no sockets.
+ * Input and result of placement: plain data without clocks or sockets.
  */
 
 import type {Assignment} from 'mastvalve-types';
 
-/** A model as placement sees it. */
 export type PlacedModel = {
 	name: string;
 	service: string;
-	/** Memory with its adapters, in the unit of the endpoints' capacity. */
+	/** Memory including adapters, in the unit of the endpoints' capacity. */
 	size: number;
-	/** Replicas that must be resident. */
+	/** Required resident replicas. */
 	minReplicas: number;
-	/** Replicas that are worth having now; at least `minReplicas`. */
+	/** Desired replicas at present; at least `minReplicas`. */
 	wantedReplicas: number;
-	/** Expected requests a second; decides who gives way first. */
+	/** Expected requests per second; models with the least demand are removed first. */
 	demand: number;
 };
 
-/** An endpoint as placement sees it. */
 export type PlacedEndpoint = {
 	id: string;
 	service: string;
 	failureDomain: string;
 	capacity: number;
-	/** What it is to hold now. */
+	/** Current assignments. */
 	assignments: Assignment[];
-	/** Models that it has proved to hold. */
+	/** Models that the endpoint has reported as loaded. */
 	loaded: string[];
 };
 
-/** The whole input. */
 export type PlacementInput = {
 	models: PlacedModel[];
 	endpoints: PlacedEndpoint[];
-	/** Loads that may be started now, for the weight store's sake; coverage goes first. */
+	/** Loads that may be started now, limited to protect the weight store; required replicas take precedence. */
 	loadBudget: number;
-	/** Attainment given up to save one move. */
+	/** Cost of one move, in attainment. */
 	moveWeight: number;
 };
 
-/** Assignments by endpoint id. */
 export type PlacementResult = {
+	/** By endpoint id. */
 	assignments: Record<string, Assignment[]>;
-	/** What could not be placed, in plain words. */
+	/** Messages on replicas that could not be placed. */
 	shortfalls: string[];
 };
--- a/packages/mastvalve-placement/src/plan-placement.ts
+++ b/packages/mastvalve-placement/src/plan-placement.ts
@@ -1,14 +1,14 @@
 /**
- * The placement policy: which endpoint holds which model.
+ * Placement policy: decides which endpoint holds which model.
  *
- * It changes what there is as little as it can. First every model gets a place, then every model its required
- * replicas, and only then do replicas that are merely worth having use the room and the loads that are left. Nothing
- * is taken away but replicas above what is required, and only where others have proved to hold the model.
+ * It makes as few changes as possible. Every model is placed first, then every model gets its required replicas; optional replicas only use
+ * the remaining memory and load budget. Only replicas above the required number are removed, and only if others are confirmed to hold
+ * the model.
  */
 
 import {AssignmentMode, type Assignment} from 'mastvalve-types';
 import {compareText, minBy} from 'mastvalve-utils';
-import {Board} from './board.js';
+import {PlacementState} from './placement-state.js';
 import type {
 	PlacedEndpoint, PlacedModel, PlacementInput, PlacementResult,
 } from './placement-input.js';
@@ -16,176 +16,176 @@
 const bySizeDescending = (a: PlacedModel, b: PlacedModel): number => b.size - a.size || compareText(a.name, b.name);
 const byDemandDescending = (a: PlacedModel, b: PlacedModel): number => b.demand - a.demand || compareText(a.name, b.name);
 
-/** Works out the assignments of all endpoints. Equal input gives equal output. */
+/** Computes the assignments of all endpoints. Deterministic. */
 export const planPlacement = (input: PlacementInput): PlacementResult => {
-	const board = new Board(input);
-	fitWithinCapacity(board);
-	const budget = {left: input.loadBudget};
-	const models = [...board.models.values()];
+	const state = new PlacementState(input);
+	fitWithinCapacity(state);
+	const budget = {remaining: input.loadBudget};
+	const models = [...state.models.values()];
 	const shortfalls = [
-		...models.filter(model => model.minReplicas > 0).toSorted(bySizeDescending).flatMap(model => requireReplicas(board, model, budget)),
-		...models.filter(model => model.minReplicas === 0).toSorted(bySizeDescending).flatMap(model => requireCoverage(board, model, isUnrequired)),
-		// Too few endpoints are left: better on demand than out of reach.
-		...models.filter(model => board.holders(model.name).length === 0).toSorted(bySizeDescending).flatMap(model => requireCoverage(board, model, () => true)),
+		...models.filter(model => model.minReplicas > 0).toSorted(bySizeDescending).flatMap(model => placeRequiredReplicas(state, model, budget)),
+		...models.filter(model => model.minReplicas === 0).toSorted(bySizeDescending).flatMap(model => ensureReachable(state, model, hasExtraResidents)),
+		// Too few endpoints remain: a model on demand is preferable to an unreachable one.
+		...models.filter(model => state.listHolders(model.name).length === 0).toSorted(bySizeDescending).flatMap(model => ensureReachable(state, model, () => true)),
 	];
 	models.toSorted(byDemandDescending).forEach(model => {
-		addWantedReplicas(board, model, budget);
+		addWantedReplicas(state, model, budget);
 	});
-	return {assignments: board.toAssignments(), shortfalls};
+	return {assignments: state.toAssignments(), shortfalls};
 };
 
-/** After an intent grew a model, an endpoint may hold too much: the least wanted give way. */
-const fitWithinCapacity = (board: Board): void => {
-	board.input.endpoints.forEach(endpoint => {
-		while (board.roomOf(endpoint) < 0) {
-			const least = minBy(board.heldBy(endpoint), assignment => board.models.get(assignment.model)?.demand ?? 0);
+/** Removes the models with the least demand from endpoints over capacity, as after an intent that has increased a model's size. */
+const fitWithinCapacity = (state: PlacementState): void => {
+	state.input.endpoints.forEach(endpoint => {
+		while (state.computeFreeMemory(endpoint) < 0) {
+			const least = minBy(state.listAssignments(endpoint), assignment => state.models.get(assignment.model)?.demand ?? 0);
 			if (!least) {
 				return;
 			}
 
-			board.take(endpoint, least.model);
+			state.unassign(endpoint, least.model);
 		}
 	});
 };
 
-const requireReplicas = (board: Board, model: PlacedModel, budget: {left: number}): string[] => {
-	const missing = model.minReplicas - board.holders(model.name, AssignmentMode.Resident).length;
-	const placed = Array.from({length: Math.max(0, missing)}, () => placeResident(board, model));
-	budget.left -= placed.filter(Boolean).length;
+const placeRequiredReplicas = (state: PlacementState, model: PlacedModel, budget: {remaining: number}): string[] => {
+	const missing = model.minReplicas - state.listHolders(model.name, AssignmentMode.Resident).length;
+	const placed = Array.from({length: Math.max(0, missing)}, () => placeResident(state, model));
+	budget.remaining -= placed.filter(Boolean).length;
 	const lacking = placed.filter(isPlaced => !isPlaced).length;
 	return lacking === 0
 		? []
 		: [`${model.name} asks for ${model.minReplicas} resident replicas of size ${model.size}; ${lacking} of them find no room on the endpoints of ${model.service}`];
 };
 
-/** Puts a resident replica where there is room, making room among what isn't required if there is none. */
-const placeResident = (board: Board, model: PlacedModel): boolean => {
+/** Places a resident replica in free memory, or frees memory that isn't required if there is none. */
+const placeResident = (state: PlacementState, model: PlacedModel): boolean => {
 	const assignment = {model: model.name, mode: AssignmentMode.Resident};
-	const promoted = board.holders(model.name, AssignmentMode.OnDemand);
-	const target = promoted.find(endpoint => board.fits(endpoint, assignment))
-		?? board.findRoomiest(model, assignment)
-		?? [...promoted, ...listBySpread(board, model)].find(endpoint => makeRoom(board, endpoint, assignment, isUnrequired));
+	const promoted = state.listHolders(model.name, AssignmentMode.OnDemand);
+	const target = promoted.find(endpoint => state.fits(endpoint, assignment))
+		?? state.findBestCandidate(model, assignment)
+		?? [...promoted, ...listBySpread(state, model)].find(endpoint => freeMemory(state, endpoint, assignment, hasExtraResidents));
 	if (target) {
-		board.put(target, assignment);
+		state.assign(target, assignment);
 	}
 
 	return target !== undefined;
 };
 
-/** Endpoints that could hold a model, the best first. */
-const listBySpread = (board: Board, model: PlacedModel): PlacedEndpoint[] => board.candidates(model).toSorted(board.compareForSpread(model));
+/** Lists candidates for a model, the best first. */
+const listBySpread = (state: PlacementState, model: PlacedModel): PlacedEndpoint[] => state.listCandidates(model).toSorted(state.compareForSpread(model));
 
-/** A model without required replicas still needs one endpoint: resident where there is room, else on demand. */
-const requireCoverage = (board: Board, model: PlacedModel, mayDemote: MayDemote): string[] => {
-	if (board.holders(model.name).length > 0) {
+/** Places a model without required replicas on one endpoint: resident if there is free memory, otherwise on demand. */
+const ensureReachable = (state: PlacementState, model: PlacedModel, mayDemote: MayDemote): string[] => {
+	if (state.listHolders(model.name).length > 0) {
 		return [];
 	}
 
 	const resident = {model: model.name, mode: AssignmentMode.Resident};
 	const onDemand = {model: model.name, mode: AssignmentMode.OnDemand};
-	const roomy = board.findRoomiest(model, resident);
-	if (roomy) {
-		board.put(roomy, resident);
+	const withFreeMemory = state.findBestCandidate(model, resident);
+	if (withFreeMemory) {
+		state.assign(withFreeMemory, resident);
 		return [];
 	}
 
-	const shared = board.findRoomiest(model, onDemand)
-		?? listBySpread(board, model).find(endpoint => makeRoom(board, endpoint, onDemand, mayDemote));
+	const shared = state.findBestCandidate(model, onDemand)
+		?? listBySpread(state, model).find(endpoint => freeMemory(state, endpoint, onDemand, mayDemote));
 	if (!shared) {
 		return [`${model.name} of size ${model.size} can't be made reachable: no endpoint of ${model.service} has room for it even on demand`];
 	}
 
-	board.put(shared, onDemand);
+	state.assign(shared, onDemand);
 	return [];
 };
 
-/** Takes away replicas above what is required, then turns residents that need not be resident into on-demand ones. */
-const makeRoom = (board: Board, endpoint: PlacedEndpoint, assignment: Assignment, mayDemote: MayDemote): boolean => {
-	const before = board.heldBy(endpoint);
-	const byDemand = before.toSorted((a, b) => (board.models.get(a.model)?.demand ?? 0) - (board.models.get(b.model)?.demand ?? 0));
+/** Removes replicas above the required number, then demotes residents that need not be resident to on demand. */
+const freeMemory = (state: PlacementState, endpoint: PlacedEndpoint, assignment: Assignment, mayDemote: MayDemote): boolean => {
+	const before = state.listAssignments(endpoint);
+	const byDemand = before.toSorted((a, b) => (state.models.get(a.model)?.demand ?? 0) - (state.models.get(b.model)?.demand ?? 0));
 	byDemand
-		.filter(held => held.mode === AssignmentMode.Resident && isSpare(board, held.model))
+		.filter(held => held.mode === AssignmentMode.Resident && isRemovable(state, held.model))
 		.forEach(held => {
-			if (!board.fits(endpoint, assignment)) {
-				board.take(endpoint, held.model);
+			if (!state.fits(endpoint, assignment)) {
+				state.unassign(endpoint, held.model);
 			}
 		});
 	byDemand
-		.filter(held => board.heldBy(endpoint).includes(held) && held.mode === AssignmentMode.Resident && mayDemote(board, held.model))
+		.filter(held => state.listAssignments(endpoint).includes(held) && held.mode === AssignmentMode.Resident && mayDemote(state, held.model))
 		.forEach(held => {
-			if (!board.fits(endpoint, assignment)) {
-				board.put(endpoint, {model: held.model, mode: AssignmentMode.OnDemand});
+			if (!state.fits(endpoint, assignment)) {
+				state.assign(endpoint, {model: held.model, mode: AssignmentMode.OnDemand});
 			}
 		});
-	if (board.fits(endpoint, assignment)) {
+	if (state.fits(endpoint, assignment)) {
 		return true;
 	}
 
-	board.restore(endpoint, before);
+	state.restore(endpoint, before);
 	return false;
 };
 
-/** Whether a resident of a model may become one on demand. */
-type MayDemote = (board: Board, name: string) => boolean;
+/** Decides whether a resident replica of a model may be demoted to on demand. */
+type MayDemote = (state: PlacementState, name: string) => boolean;
 
 /** Whether a model has more residents than are required. */
-const isUnrequired: MayDemote = (board, name) =>
-	board.holders(name, AssignmentMode.Resident).length > (board.models.get(name)?.minReplicas ?? 0);
+const hasExtraResidents: MayDemote = (state, name) =>
+	state.listHolders(name, AssignmentMode.Resident).length > (state.models.get(name)?.minReplicas ?? 0);
 
-/** Whether a resident replica may go: others remain, enough of them, and one has proved to hold the model. */
-const isSpare = (board: Board, name: string): boolean => {
-	const holders = board.holders(name, AssignmentMode.Resident);
-	const required = Math.max(1, board.models.get(name)?.minReplicas ?? 0);
+/** Whether a resident replica may be removed: the required number remains, and more replicas than required are confirmed to be loaded. */
+const isRemovable = (state: PlacementState, name: string): boolean => {
+	const holders = state.listHolders(name, AssignmentMode.Resident);
+	const required = Math.max(1, state.models.get(name)?.minReplicas ?? 0);
 	return holders.length > required && holders.filter(holder => holder.loaded.includes(name)).length > required;
 };
 
-/** Adds replicas worth having, in free room or in place of spare ones whose demand is lower by more than a move costs. */
-const addWantedReplicas = (board: Board, model: PlacedModel, budget: {left: number}): void => {
-	const holders = board.holders(model.name, AssignmentMode.Resident).length;
+/** Adds wanted replicas in free memory, or in place of surplus ones whose demand is lower by more than the cost of a move. */
+const addWantedReplicas = (state: PlacementState, model: PlacedModel, budget: {remaining: number}): void => {
+	const holders = state.listHolders(model.name, AssignmentMode.Resident).length;
 	Array.from({length: Math.max(0, model.wantedReplicas - holders)}).forEach(() => {
-		if (budget.left > 0 && addWantedReplica(board, model)) {
-			budget.left -= 1;
+		if (budget.remaining > 0 && addWantedReplica(state, model)) {
+			budget.remaining -= 1;
 		}
 	});
 };
 
-const addWantedReplica = (board: Board, model: PlacedModel): boolean => {
+const addWantedReplica = (state: PlacementState, model: PlacedModel): boolean => {
 	const assignment = {model: model.name, mode: AssignmentMode.Resident};
-	const promoted = board.holders(model.name, AssignmentMode.OnDemand).find(endpoint => board.fits(endpoint, assignment));
-	const target = promoted ?? board.findRoomiest(model, assignment) ?? replaceSpare(board, model, listBySpread(board, model));
+	const promoted = state.listHolders(model.name, AssignmentMode.OnDemand).find(endpoint => state.fits(endpoint, assignment));
+	const target = promoted ?? state.findBestCandidate(model, assignment) ?? replaceSurplusReplica(state, model, listBySpread(state, model));
 	if (target) {
-		board.put(target, assignment);
+		state.assign(target, assignment);
 	}
 
 	return target !== undefined;
 };
 
-/** Demand that one replica of a model serves. */
-const demandPerReplica = (board: Board, name: string, extra: number): number =>
-	(board.models.get(name)?.demand ?? 0) / Math.max(1, board.holders(name, AssignmentMode.Resident).length + extra);
+/** Returns the demand per replica of a model if it had `extra` more replicas. */
+const computeDemandPerReplica = (state: PlacementState, name: string, extra: number): number =>
+	(state.models.get(name)?.demand ?? 0) / Math.max(1, state.listHolders(name, AssignmentMode.Resident).length + extra);
 
-const replaceSpare = (board: Board, model: PlacedModel, candidates: PlacedEndpoint[]): PlacedEndpoint | undefined => {
-	const gain = demandPerReplica(board, model.name, 1);
+const replaceSurplusReplica = (state: PlacementState, model: PlacedModel, candidates: PlacedEndpoint[]): PlacedEndpoint | undefined => {
+	const gain = computeDemandPerReplica(state, model.name, 1);
 	const assignment = {model: model.name, mode: AssignmentMode.Resident};
 	return candidates.find(endpoint => {
-		const spares = board.heldBy(endpoint)
-			.filter(held => held.mode === AssignmentMode.Resident && isSpare(board, held.model) && isSurplus(board, held.model))
-			.filter(held => demandPerReplica(board, held.model, -1) * (1 + board.input.moveWeight) < gain);
-		const spare = minBy(spares, held => demandPerReplica(board, held.model, -1));
+		const removable = state.listAssignments(endpoint)
+			.filter(held => held.mode === AssignmentMode.Resident && isRemovable(state, held.model) && isSurplus(state, held.model))
+			.filter(held => computeDemandPerReplica(state, held.model, -1) * (1 + state.input.moveWeight) < gain);
+		const spare = minBy(removable, held => computeDemandPerReplica(state, held.model, -1));
 		if (!spare) {
 			return false;
 		}
 
-		board.take(endpoint, spare.model);
-		const fits = board.fits(endpoint, assignment);
+		state.unassign(endpoint, spare.model);
+		const fits = state.fits(endpoint, assignment);
 		if (!fits) {
-			board.put(endpoint, spare);
+			state.assign(endpoint, spare);
 		}
 
 		return fits;
 	});
 };
 
-/** Whether a model has more residents than are worth having. */
-const isSurplus = (board: Board, name: string): boolean =>
-	board.holders(name, AssignmentMode.Resident).length > (board.models.get(name)?.wantedReplicas ?? 0);
+/** Whether a model has more residents than wanted. */
+const isSurplus = (state: PlacementState, name: string): boolean =>
+	state.listHolders(name, AssignmentMode.Resident).length > (state.models.get(name)?.wantedReplicas ?? 0);
--- a/packages/mastvalve-placement/src/wanted-replicas.ts
+++ b/packages/mastvalve-placement/src/wanted-replicas.ts
@@ -1,19 +1,18 @@
 /**
- * How many replicas of a model are worth having.
+ * Number of replicas of a model for a given demand.
  */
 
-/** Knobs of the choice. */
 export type ReplicaPolicy = {
-	/** Requests a second that one replica serves within target. */
+	/** Requests per second that one replica serves within the objective. */
 	ratePerReplica: number;
-	/** A replica is given up only when demand would fit into this share of what would remain. */
+	/** A replica is released only if the demand fits into this share of the remaining capacity. */
 	releaseShare: number;
 };
 
-/** A replica goes when what remains would be filled to half; see docs/design/placement.md. */
+/** A replica is released if the remaining capacity would be at most half used; see docs/design/placement.md. */
 export const defaultReleaseShare = 0.5;
 
-/** Replicas for a demand, with hysteresis: more at once, fewer only when demand is well below. */
+/** Returns the replicas for a demand, with hysteresis: scales up immediately, and down only when the demand is well below capacity. */
 export const chooseWantedReplicas = (demand: number, current: number, minimum: number, policy: ReplicaPolicy): number => {
 	const needed = Math.ceil(demand / policy.ratePerReplica);
 	const kept = Math.ceil(demand / (policy.ratePerReplica * policy.releaseShare));
--- a/packages/mastvalve-proofs/__tests__/configuration.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/configuration.proofs.ts
@@ -37,7 +37,7 @@
 				history.slice(0, 1 + (upTo % history.length)).forEach(configuration => {
 					upstream.publish(configuration);
 				});
-				const update = upstream.readAfter(from - 1);
+				const update = upstream.readUpdateAfter(from - 1);
 				return update ? [update] : [];
 			});
 			const rules = variant === Variant.Broken ? {isNewer: () => true} : defaultAdoptionRules;
--- a/packages/mastvalve-proofs/__tests__/placement.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/placement.proofs.ts
@@ -4,11 +4,11 @@
 
 import {strict as assert} from 'node:assert';
 import fc from 'fast-check';
-import {createEmptyConfiguration, memoryOfAssignments} from 'mastvalve-configuration';
+import {createEmptyConfiguration, computeAssignedMemory} from 'mastvalve-configuration';
 import {
 	changeEndpoints, EndpointWatch, joinEndpoint, placeAssignments, restoreCoverage, type EndpointChange,
 } from 'mastvalve-control';
-import {listChangedPlacements, noKnowledge, planConfiguration} from 'mastvalve-intents';
+import {listChangedPlacements, noForecast, planConfiguration} from 'mastvalve-intents';
 import {EndpointState, ServiceKind, type Configuration} from 'mastvalve-types';
 import {keyBy} from 'mastvalve-utils';
 import {
@@ -52,7 +52,7 @@
 	assert.deepEqual(uncovered, []);
 	Object.values(configuration.placements).forEach(placement => {
 		const capacity = configuration.endpoints[placement.endpointId]?.capacity ?? 0;
-		assert.ok(memoryOfAssignments(configuration, placement.assignments) <= capacity, `${placement.endpointId} is asked for more than it has`);
+		assert.ok(computeAssignedMemory(configuration, placement.assignments) <= capacity, `${placement.endpointId} is asked for more than it has`);
 	});
 };
 
@@ -93,7 +93,7 @@
 				const demandOf = (model: string): number => demand[Number(model.slice(1))] ?? 0;
 				const hottest = Object.keys(configuration.models).toSorted((a, b) => demandOf(b) - demandOf(a))[0] ?? '';
 				const {assignments} = planConfiguration(configuration, {
-					...noKnowledge, demandOf, wantedReplicasOf: model => Math.ceil(demandOf(model) / 50), loadBudget: 5, moveWeight: 0.1,
+					...noForecast, demandOf, wantedReplicasOf: model => Math.ceil(demandOf(model) / 50), loadBudget: 5, moveWeight: 0.1,
 				});
 				const changed = listChangedPlacements(configuration, assignments);
 				const greedy = changed.map(placement => ({...placement, assignments: placement.assignments.filter(assignment => assignment.model === hottest)}));
--- a/packages/mastvalve-sidecar/src/engine/engine-keeper.ts
+++ b/packages/mastvalve-sidecar/src/engine/engine-keeper.ts
@@ -2,7 +2,7 @@
  * Keeps one engine at what the configuration asks: reads its state, then gives at most one order, again and again.
  */
 
-import {listAssignments, memoryOfModel} from 'mastvalve-configuration';
+import {listAssignments, computeModelMemory} from 'mastvalve-configuration';
 import type {ProgramContext} from 'mastvalve-http';
 import {
 	AssignmentMode, OrderKind, type Assignment, type Configuration, type Endpoint, type FencingToken, type Model,
@@ -75,7 +75,7 @@
 	configure(configuration: Configuration, endpoint: Endpoint): void {
 		this.models = configuration.models;
 		this.assignments = listAssignments(configuration, endpoint);
-		this.ledger.setSizes(new Map(Object.values(configuration.models).map(model => [model.name, memoryOfModel(model)])));
+		this.ledger.setSizes(new Map(Object.values(configuration.models).map(model => [model.name, computeModelMemory(model)])));
 	}
 
 	/** One round: status, then at most one order. */
@@ -143,13 +143,13 @@
 
 	private holdForeignReserve(): void {
 		const isOver = this.options.fenced || this.options.context.clock.now() - this.startedAt > foreignOrderMs;
-		const largest = Math.max(0, ...Object.values(this.models).map(memoryOfModel));
+		const largest = Math.max(0, ...Object.values(this.models).map(computeModelMemory));
 		this.ledger.setForeignReserve(isOver ? 0 : largest);
 	}
 
 	private sizeOf(model: string): number {
 		const declared = this.models[model];
-		return declared ? memoryOfModel(declared) : this.options.capacity;
+		return declared ? computeModelMemory(declared) : this.options.capacity;
 	}
 
 	private nextToken(endpoint: Endpoint): FencingToken {
--- a/packages/mastvalve-sidecar/src/server/start-sidecar.ts
+++ b/packages/mastvalve-sidecar/src/server/start-sidecar.ts
@@ -174,7 +174,7 @@
 			this.claims = new ClaimGuard(joined.value.incarnation);
 			context.timeline.record('endpoint.joined', `${instance.name} joined as incarnation ${joined.value.incarnation}`);
 			// eslint-disable-next-line no-await-in-loop
-			await this.store.waitAfter(joined.value.incarnation - 1, signal);
+			await this.store.waitForUpdateAfter(joined.value.incarnation - 1, signal);
 			this.isSynced = true;
 			this.takeConfiguration();
 		}
