--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
@@ -15,7 +15,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {VirtualTime} from '../../../../features/support/virtual-time.js';
 import {
-	EndpointTracker, EndpointLimiter, LimitClient, type HandoverOutcome, type HandoverWish,
+	EndpointTracker, EndpointLimiter, LimitClient, type PermitOutcome, type PermitRequest,
 } from '../../src/index.js';
 import {createEndpoint} from './running-gateway.js';
 
@@ -293,11 +293,11 @@
 
 	private leave(entry: Entry, reservation: string | undefined): void {
 		if (reservation !== undefined && this.options.fault !== LimitFault.KeepsReservations) {
-			entry.limiter.release(reservation);
+			entry.limiter.releaseReservation(reservation);
 		}
 	}
 
-	private async claim(entry: Entry, endpoints: readonly VirtualEndpoint[], wish: HandoverWish): Promise<HandoverOutcome> {
+	private async claim(entry: Entry, endpoints: readonly VirtualEndpoint[], wish: PermitRequest): Promise<PermitOutcome> {
 		if (this.options.fault === LimitFault.EachForItself) {
 			return this.claimByItself(entry, endpoints[0]!.id);
 		}
@@ -305,9 +305,9 @@
 		return entry.limiter.claim(endpoints.map(({id}) => entry.view.get(id) ?? createEndpoint(id)), wish);
 	}
 
-	private claimByItself(entry: Entry, id: string): HandoverOutcome {
+	private claimByItself(entry: Entry, id: string): PermitOutcome {
 		const now = this.time.clock.now();
-		const perSecond = entry.limiter.limitOf(createEndpoint(id));
+		const perSecond = entry.limiter.findLimit(createEndpoint(id));
 		const bucket = entry.buckets.get(id) ?? new TokenBucket(perSecond ?? 1, now, 1);
 		entry.buckets.set(id, bucket);
 		const waitMs = perSecond === undefined ? 0 : bucket.computeWaitMs(now);
@@ -335,7 +335,7 @@
 
 			const isUnheard = word.kind === LimitHeaderKind.Absent && this.options.fault === LimitFault.AnyAnswerEnds;
 			const toldAt = isUnheard ? {term: this.term, number: Number.MAX_SAFE_INTEGER} : grantedAt;
-			entry.limiter.hear(entry.view.get(endpoint.id) ?? createEndpoint(endpoint.id), word, toldAt);
+			entry.limiter.recordReportedLimit(entry.view.get(endpoint.id) ?? createEndpoint(endpoint.id), word, toldAt);
 		})();
 	}
 }
--- a/packages/mastvalve-gateway/__tests__/disconnected-entry.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/disconnected-entry.steps.ts
@@ -51,10 +51,10 @@
 	const claim = {
 		endpoints: ['e'], urgency: 0, maxWaitMs: 0, reservation: undefined,
 	};
-	void note(this.disconnectedClient.claimHandover(claim, new Map([['e', 1]])));
+	void note(this.disconnectedClient.claimPermit(claim, new Map([['e', 1]])));
 	await waitFor(pauseMs);
-	void note(this.disconnectedClient.claimHandover(claim, new Map([['e', 1]])));
-	void note(this.disconnectedClient.claim('w', 1));
+	void note(this.disconnectedClient.claimPermit(claim, new Map([['e', 1]])));
+	void note(this.disconnectedClient.claimCost('w', 1));
 });
 
 Then('all {int} are answered within {int} ms', async function (this: DisconnectedWorld, count: number, limitMs: number) {
--- a/packages/mastvalve-gateway/src/access/admit-caller.ts
+++ b/packages/mastvalve-gateway/src/access/admit-caller.ts
@@ -54,7 +54,7 @@
 	}
 
 	const cost = computeRequestCost(workspace.limit, caller.declaredTokens);
-	const {isTaken, waitMs} = await core.limits.claim(workspace.name, cost);
+	const {isTaken, waitMs} = await core.limits.claimCost(workspace.name, cost);
 	if (isTaken) {
 		return {key, workspace, cost};
 	}
--- a/packages/mastvalve-gateway/src/dialect.ts
+++ b/packages/mastvalve-gateway/src/dialect.ts
@@ -1,87 +1,86 @@
 /**
- * What a gateway must be told of the headers that callers and endpoints use. The gateway knows their meaning only.
+ * Interface to the headers that callers and endpoints use. The gateway depends only on their meaning; a dialect defines their names.
  */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {PresentedKey} from 'mastvalve-access';
 import type {LimitHeader, RetryAfter} from 'mastvalve-limits';
 
-/** What a caller's headers say. */
+/** Parsed headers of a caller's request. */
 export type CallerHeaders = {
-	/** Identity of this request; endpoints echo it. */
+	/** Id of the request; endpoints echo it. */
 	requestId: string | undefined;
-	/** How long the caller will wait, ms. */
+	/** Time until the caller's deadline, ms. */
 	remainingMs: number | undefined;
 	model: string | undefined;
 	adapter: string | undefined;
 	promptTokens: number;
-	/** Tokens that the answer may have at the most. */
+	/** Maximum number of tokens of the answer. */
 	maxOutputTokens: number;
-	/** Both of these, if the caller told them. */
+	/** Both token counts, if the caller declared them. */
 	declaredTokens: {prompt: number; output: number} | undefined;
-	/** Parts of the prompt in order; equal parts of different requests have equal ids. */
+	/** Parts of the prompt in order; equal parts of different requests have the same id. */
 	promptParts: PromptPart[];
-	/** Position in a stream after which the caller goes on. */
+	/** Id of the event after which the stream is resumed. */
 	resumeAfter: string | undefined;
 };
 
-/** A part of a prompt that others may share. */
+/** A part of a prompt that other requests may share. */
 export type PromptPart = {id: string; tokens: number};
 
-/** What goes to an endpoint besides the caller's own headers. */
+/** Headers that the entry adds to a request to an endpoint. */
 export type EndpointHeaders = {
 	remainingMs: number;
-	/** Identity of the incarnation that is meant. */
+	/** Id of the addressed incarnation. */
 	endpointId: string;
 	/** 0 is the most urgent. */
 	priority: number;
 	resumeAfter: string | undefined;
-	/** Name of the workspace that asks; undefined for nobody in particular. */
+	/** Name of the caller's workspace; undefined for an anonymous caller. */
 	workspace: string | undefined;
-	/** Set when the request has a body; it was read whole. */
+	/** Length of the body in bytes; undefined when the request has none. */
 	bodyLength: number | undefined;
 };
 
-/** What the head of an endpoint's answer says. */
+/** Parsed head of an endpoint's answer. */
 export type AnswerHeaders = {
 	requestId: string | undefined;
-	/** Name of the endpoint that answered, if it tells; it may be another incarnation than the one that was meant. */
+	/** Name of the endpoint that answered, if it is reported; it may be an incarnation other than the addressed one. */
 	endpointName: string | undefined;
 	/** The endpoint states that the request was not run. */
 	isNotRun: boolean;
-	/** The endpoint at the address is another one, or it lacks the model. */
+	/** The address belongs to another endpoint, or the endpoint lacks the model. */
 	isMisdirected: boolean;
 	load: ReportedLoad | undefined;
-	/** What it says of the requests that it takes from all entries together. */
+	/** Limit that the endpoint reports for all entries together. */
 	limit: LimitHeader;
-	/** How long its sender asks this entry to send nothing. */
+	/** How long the endpoint asks this entry to send no requests. */
 	retryAfter: RetryAfter;
-	/** Its sender is about to end and takes no new requests. */
+	/** The endpoint is about to stop and accepts no new requests. */
 	isLeaving: boolean;
 };
 
-/** Load that an endpoint tells with an answer. */
+/** Load that an endpoint reports with an answer. */
 export type ReportedLoad = {running: number; waiting: number; slots: number};
 
-/** Who sets a header field of a request to an endpoint. */
+/** Owner of a header field in requests to endpoints. */
 export enum FieldOwner {
-	/** Passed on as the caller sent it. */
+	/** Forwarded as the caller sent it. */
 	Caller = 'caller',
-	/** Set by the entry or nobody; what a caller sends of it is dropped, or an endpoint would act on it. */
+	/** Set only by the entry; the caller's value is dropped, since an endpoint would act on it. */
 	Entry = 'entry',
-	/** A caller's credentials: passed on only where the configuration asks for no keys, so that they are none of ours. */
+	/** Credentials of the caller: forwarded only if the configuration requires no keys, so that they aren't keys of mastvalve. */
 	Credentials = 'credentials',
 }
 
-/** The dialect. */
 export type Dialect = {
-	/** All fields with a meaning, by their names in lower case. */
+	/** Owners of all fields of the dialect, by lower-case name. */
 	fieldOwners: ReadonlyMap<string, FieldOwner>;
 	readCaller: (headers: IncomingHttpHeaders) => CallerHeaders;
-	/** The key among a flat list of names and values, in which fields that stand twice are seen. */
+	/** Reads the key from a flat list of names and values, which shows duplicate fields. */
 	readKey: (rawHeaders: readonly string[]) => PresentedKey;
-	/** What the entry adds, as a flat list of names and values. */
+	/** Returns the headers that the entry adds, as a flat list of names and values. */
 	writeEndpoint: (added: EndpointHeaders) => string[];
-	/** `rawHeaders` is a flat list of names and values, in which fields that stand twice are seen. */
+	/** `rawHeaders` is a flat list of names and values, which shows duplicate fields. */
 	readAnswer: (statusCode: number, headers: IncomingHttpHeaders, rawHeaders: readonly string[]) => AnswerHeaders;
 };
--- a/packages/mastvalve-gateway/src/index.ts
+++ b/packages/mastvalve-gateway/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The data path by routes.
+ * Gateway: the data path, which serves the requests of callers by route.
  */
 
 export * from './access/access-checker.js';
@@ -19,7 +19,7 @@
 export * from './quarantine/request-quarantine.js';
 export * from './requests/caller-request.js';
 export * from './requests/capacity-waiters.js';
-export {removeHopByHopHeaders as dropConnectionHeaders} from './requests/reply.js';
+export {removeHopByHopHeaders} from './requests/reply.js';
 export * from './routing/choose-endpoint.js';
 export * from './routing/endpoint-tracker.js';
 export * from './routing/forget-gone-endpoints.js';
--- a/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
+++ b/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps to the limits that endpoints name: a request goes to such an endpoint only with a permit that was claimed, and what its answers
- * say is told to the leader.
+ * Enforces the limits that endpoints report: a request is sent to a limited endpoint only with a claimed permit, and the limits in its
+ * answers are reported to the leader.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
@@ -9,66 +9,64 @@
 } from 'mastvalve-limits';
 import type {FleetView} from '../fleet/fleet-view.js';
 import type {EndpointTracker} from '../routing/endpoint-tracker.js';
-import type {HandoverOutcome} from './limit-batch.js';
+import type {PermitOutcome} from './limit-batch.js';
 import type {LimitClient} from './limit-client.js';
 
-/** What it is made from. */
 export type EndpointLimiterOptions = {
 	view: Pick<FleetView, 'find'>;
 	board: EndpointTracker;
 	client: LimitClient;
-	/** Monotonic, ms. */
+	/** Monotonic clock, ms. */
 	now: () => number;
 };
 
-/** A limit that this entry has heard itself holds here for this long, ms: until the leader, which hears it at once, has told all. Without a leader it holds on. */
-const ownWordMs = 2000;
+/** How long a limit that this entry received itself stays valid, ms: by then the leader, to which it is reported at once, has distributed it to all entries. Without a leader it stays valid. */
+const receivedLimitTtlMs = 2000;
 
-/** Pause between probes of one limited endpoint by all entries together, ms. */
-const probeMs = 500;
+/** Interval between probes of one limited endpoint by all entries together, ms. */
+const sharedProbeIntervalMs = 500;
 
-type OwnWord = {perSecond: number; until: number};
+type ReceivedLimit = {perSecond: number; expiresAt: number};
 
-/** What a request asks of limited endpoints. */
-export type HandoverWish = Omit<PermitClaim, 'endpoints'>;
+/** Claim of a request for a permit at limited endpoints. */
+export type PermitRequest = Omit<PermitClaim, 'endpoints'>;
 
-/** The limiter. */
 export class EndpointLimiter {
-	/** Limits that this entry has heard itself, by endpoint. */
-	private readonly own = new Map<string, OwnWord>();
+	/** Limits that this entry received itself, by endpoint id. */
+	private readonly receivedLimits = new Map<string, ReceivedLimit>();
 
 	constructor(private readonly options: EndpointLimiterOptions) {}
 
-	/** Requests a second that an endpoint takes from all entries together; undefined when it has named no limit. */
-	limitOf({id, limitPerSecond}: FleetEndpoint): number | undefined {
-		const own = this.own.get(id);
-		if (!own || !this.isValid(own)) {
+	/** Limit of an endpoint for all entries together, requests per second; undefined when it has none. */
+	findLimit({id, limitPerSecond}: FleetEndpoint): number | undefined {
+		const received = this.receivedLimits.get(id);
+		if (!received || !this.isValid(received)) {
 			return limitPerSecond;
 		}
 
-		// Which of the two is newer can't be told; the lower one harms nobody.
-		return Math.min(own.perSecond, limitPerSecond ?? Number.POSITIVE_INFINITY);
+		// It is unknown which of the two is newer; the lower one is safe.
+		return Math.min(received.perSecond, limitPerSecond ?? Number.POSITIVE_INFINITY);
 	}
 
-	/** How often this entry asks a limited endpoint to learn whether its limit is over, ms: all entries together about twice a second. */
-	get probePauseMs(): number {
-		return probeMs * (this.options.client.entries ?? Number.POSITIVE_INFINITY);
+	/** Interval at which this entry probes a limited endpoint to detect that its limit has ended, ms: all entries together probe about twice a second. */
+	get probeIntervalMs(): number {
+		return sharedProbeIntervalMs * (this.options.client.entryCount ?? Number.POSITIVE_INFINITY);
 	}
 
-	/** Claims a permit at one of several limited endpoints. One whose limit is over has a permit at any time. */
-	async claim(endpoints: readonly FleetEndpoint[], wish: HandoverWish): Promise<HandoverOutcome> {
+	/** Claims a permit at one of several limited endpoints. An endpoint whose limit has ended always has one. */
+	async claim(endpoints: readonly FleetEndpoint[], request: PermitRequest): Promise<PermitOutcome> {
 		const limits = endpoints.flatMap(({id}, index): Array<[string, number]> => {
-			const perSecond = this.limitOf(endpoints[index]!);
+			const perSecond = this.findLimit(endpoints[index]!);
 			return perSecond === undefined ? [] : [[id, perSecond]];
 		});
 		const unlimited = endpoints.find(({id}) => !limits.some(([limited]) => limited === id));
 		if (unlimited) {
 			return {
-				endpoint: unlimited.id, waitMs: 0, reservation: wish.reservation, grantedAt: undefined,
+				endpoint: unlimited.id, waitMs: 0, reservation: request.reservation, grantedAt: undefined,
 			};
 		}
 
-		const outcome = await this.options.client.claimHandover({...wish, endpoints: endpoints.map(({id}) => id)}, new Map(limits));
+		const outcome = await this.options.client.claimPermit({...request, endpoints: endpoints.map(({id}) => id)}, new Map(limits));
 		if (outcome.endpoint === undefined) {
 			const at = this.options.now() + outcome.waitMs;
 			endpoints.forEach(({id}) => {
@@ -79,41 +77,40 @@
 		return outcome;
 	}
 
-	/** A request waits no more. */
-	release(reservation: string): void {
-		this.options.client.releaseHandover(reservation);
+	releaseReservation(reservation: string): void {
+		this.options.client.releaseReservation(reservation);
 	}
 
-	/** A permit that was claimed is not used. */
-	giveBack({id}: FleetEndpoint, grantedAt: LimitTimestamp | undefined): void {
+	/** Returns a permit that was not used. */
+	returnPermit({id}: FleetEndpoint, grantedAt: LimitTimestamp | undefined): void {
 		if (grantedAt) {
-			this.options.client.giveBackHandover(id);
+			this.options.client.returnPermit(id);
 		}
 	}
 
-	/** Hears what an answer of an endpoint says. */
-	hear(endpoint: FleetEndpoint, word: LimitHeader, grantedAt: LimitTimestamp | undefined): void {
-		const isNews = word.kind === LimitHeaderKind.Rate && this.noteOwn(endpoint, word.perSecond);
-		const isAsked = grantedAt !== undefined && word.kind !== LimitHeaderKind.Malformed;
-		if (isNews || isAsked) {
-			this.options.client.tell({endpoint: endpoint.id, word, grantedAt});
+	/** Records the limit in an endpoint's answer, and reports it to the leader if it is new or the answer used a permit. */
+	recordReportedLimit(endpoint: FleetEndpoint, limit: LimitHeader, grantedAt: LimitTimestamp | undefined): void {
+		const isNew = limit.kind === LimitHeaderKind.Rate && this.recordReceivedLimit(endpoint, limit.perSecond);
+		const hasUsedPermit = grantedAt !== undefined && limit.kind !== LimitHeaderKind.Malformed;
+		if (isNew || hasUsedPermit) {
+			this.options.client.reportLimit({endpoint: endpoint.id, word: limit, grantedAt});
 		}
 	}
 
-	private isValid({until}: OwnWord): boolean {
-		return this.options.client.isDisconnected || this.options.now() < until;
+	private isValid({expiresAt}: ReceivedLimit): boolean {
+		return this.options.client.isDisconnected || this.options.now() < expiresAt;
 	}
 
-	/** Whether control and this entry itself did not know this limit. */
-	private noteOwn({id, limitPerSecond}: FleetEndpoint, perSecond: number): boolean {
+	/** Records a limit that this entry received itself; true when neither control nor this entry knew it. */
+	private recordReceivedLimit({id, limitPerSecond}: FleetEndpoint, perSecond: number): boolean {
 		const now = this.options.now();
 		const known = this.options.view.find(id)?.limitPerSecond ?? limitPerSecond;
-		const own = this.own.get(id);
-		const isOwn = own?.perSecond === perSecond && this.isValid(own);
-		[...this.own].filter(([, each]) => !this.isValid(each)).forEach(([other]) => {
-			this.own.delete(other);
+		const received = this.receivedLimits.get(id);
+		const isRecorded = received?.perSecond === perSecond && this.isValid(received);
+		[...this.receivedLimits].filter(([, each]) => !this.isValid(each)).forEach(([other]) => {
+			this.receivedLimits.delete(other);
 		});
-		this.own.set(id, {perSecond, until: now + ownWordMs});
-		return known !== perSecond && !isOwn;
+		this.receivedLimits.set(id, {perSecond, expiresAt: now + receivedLimitTtlMs});
+		return known !== perSecond && !isRecorded;
 	}
 }
--- a/packages/mastvalve-gateway/src/limits/limit-batch.ts
+++ b/packages/mastvalve-gateway/src/limits/limit-batch.ts
@@ -1,61 +1,60 @@
 /**
- * What goes to the leader with one call: everything that came up while the call before was on its way.
+ * Batch of claims and reports for one call to the leader: all that arrived while the previous call was in flight.
  */
 
 import type {LimitClaim} from 'mastvalve-access';
 import type {
 	LimitTimestamp, PermitClaim, PermitResult, LimitReport,
 } from 'mastvalve-limits';
-import type {AccountQuestion} from './leader-account.js';
+import type {LimitRequestBody} from './limit-leader-client.js';
 
-/** Whether a claim was taken, and if not, when it can be, ms. */
-export type ClaimOutcome = {isTaken: boolean; waitMs: number};
+/** Whether a claim was granted; otherwise the time until it can be, ms. */
+export type CostClaimOutcome = {isTaken: boolean; waitMs: number};
 
-/** The answer to a request for a limited endpoint. */
-export type HandoverOutcome = PermitResult & {
-	/** When it was let through; undefined when nobody counted. */
+/** Outcome of a permit claim. */
+export type PermitOutcome = PermitResult & {
+	/** When the leader granted the permit; undefined when no leader counted it. */
 	grantedAt: LimitTimestamp | undefined;
 };
 
-/** A claim of a workspace that waits for its answer. */
-export type WaitingClaim = {claim: LimitClaim; resolve: (outcome: ClaimOutcome) => void};
+/** A pending claim of a request's cost at its workspace. */
+export type PendingCostClaim = {claim: LimitClaim; resolve: (outcome: CostClaimOutcome) => void};
 
-/** A request for a limited endpoint that waits for its answer. */
-export type WaitingHandover = {
+/** A pending claim of a permit at limited endpoints. */
+export type PendingPermitClaim = {
 	claim: PermitClaim;
-	/** The limits as this entry knows them, by endpoint, requests a second. */
+	/** Limits known to this entry, by endpoint id, requests per second. */
 	perSecond: ReadonlyMap<string, number>;
-	resolve: (outcome: HandoverOutcome) => void;
+	resolve: (outcome: PermitOutcome) => void;
 };
 
-/** One batch. */
 export class LimitBatch {
-	readonly claims: WaitingClaim[] = [];
-	/** Costs that workspaces get back. */
-	readonly returned: LimitClaim[] = [];
-	readonly handovers: WaitingHandover[] = [];
-	/** Limited endpoints that did not get a request which was let through. */
-	readonly unused: string[] = [];
-	/** Reservations whose requests wait no more. */
-	readonly released: string[] = [];
-
-	/** `words` is what answers said of limits. */
-	constructor(readonly words: LimitReport[] = []) {}
-
-	/** Whether somebody waits for the call or for what it gives back, or there is a word to tell. */
-	get isDue(): boolean {
-		return this.claims.length + this.handovers.length + this.words.length + this.released.length > 0;
+	readonly costClaims: PendingCostClaim[] = [];
+	/** Costs that are refunded to workspaces. */
+	readonly refunds: LimitClaim[] = [];
+	readonly permitClaims: PendingPermitClaim[] = [];
+	/** Ids of endpoints, one for each permit that was not used. */
+	readonly unusedPermits: string[] = [];
+	/** Reservations whose requests no longer wait. */
+	readonly releasedReservations: string[] = [];
+
+	/** `reports` are the limits that endpoints reported with their answers. */
+	constructor(readonly reports: LimitReport[] = []) {}
+
+	/** Whether a call is due: there are pending claims, released reservations or reports. Refunds and unused permits wait for the next call. */
+	get needsCall(): boolean {
+		return this.costClaims.length + this.permitClaims.length + this.reports.length + this.releasedReservations.length > 0;
 	}
 
-	/** The batch as a question; the most urgent requests go first. */
-	toQuestion(): AccountQuestion {
-		this.handovers.sort((a, b) => a.claim.urgency - b.claim.urgency);
+	/** Creates the request to the leader, with the most urgent permit claims first. */
+	toRequest(): LimitRequestBody {
+		this.permitClaims.sort((a, b) => a.claim.urgency - b.claim.urgency);
 		return {
-			claims: [...this.returned, ...this.claims.map(({claim}) => claim)],
-			words: this.words,
-			handovers: this.handovers.map(({claim}) => claim),
-			unused: this.unused,
-			released: this.released,
+			claims: [...this.refunds, ...this.costClaims.map(({claim}) => claim)],
+			words: this.reports,
+			handovers: this.permitClaims.map(({claim}) => claim),
+			unused: this.unusedPermits,
+			released: this.releasedReservations,
 		};
 	}
 }
--- a/packages/mastvalve-gateway/src/limits/limit-client.ts
+++ b/packages/mastvalve-gateway/src/limits/limit-client.ts
@@ -1,7 +1,7 @@
 /**
- * Claims from the leader, which counts for all entries, what requests cost their workspaces, and permits of limited endpoints. Claims
- * that come while a call is on its way go together with the next one. While no leader answers, each workspace goes on by what it
- * had here, and each limited endpoint gets this entry's part of its limit.
+ * Claims request costs of workspaces and permits of limited endpoints from the leader, which counts them for all entries. Claims that
+ * arrive while a call is in flight are batched into the next one. While no leader answers, each workspace continues at its recent rate
+ * on this entry, and each limited endpoint gets this entry's share of its limit.
  */
 
 import {GrantHistory, DisconnectedLimits, type LimitClaim} from 'mastvalve-access';
@@ -9,178 +9,176 @@
 import {
 	DisconnectedRates, type PermitClaim, type PermitResult, type LimitReport,
 } from 'mastvalve-limits';
-import {emptyQuestion, LeaderAccount, type LeaderAccountOptions} from './leader-account.js';
+import {emptyLimitRequest, LimitLeaderClient, type LimitLeaderClientOptions} from './limit-leader-client.js';
 import {
-	LimitBatch, type ClaimOutcome, type HandoverOutcome,
+	LimitBatch, type CostClaimOutcome, type PermitOutcome,
 } from './limit-batch.js';
 
-/** What it is made from. */
-export type LimitClientOptions = Omit<LeaderAccountOptions, 'history'> & {
-	/** Window in which the limits of workspaces are counted, ms. */
+export type LimitClientOptions = Omit<LimitLeaderClientOptions, 'history'> & {
+	/** Window over which the limits of workspaces are counted, ms. */
 	windowMs: number;
-	/** Numbers in [0, 1). */
+	/** Random numbers in [0, 1). */
 	random: () => number;
-	/** How many entries share the limits of endpoints; undefined when control has told none. */
+	/** Number of entries that share the limits of endpoints; undefined until control has reported it. */
 	readEntryCount: () => number | undefined;
-	/** Waits so many ms, or until the signal aborts. */
+	/** Waits for a time in ms, or until the signal aborts. */
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	onEvent: (kind: string, detail: string) => void;
 };
 
-/** How often a leader is looked for while none answers, ms. */
-const probePauseMs = 100;
-/** Retry-After of refusals that no leader counted, ms: leaders are elected within 1.5 s. */
-const disconnectedRetryMs = 1000;
-/** Words of limits that wait while no leader answers; the oldest give way, since later answers tell more. */
-const maxWaitingWords = 200;
+/** Pause between probes for a leader while none answers, ms. */
+const leaderProbeIntervalMs = 100;
+/** Retry-After of refusals without a leader, ms: a leader is elected within 1.5 s. */
+const disconnectedRetryAfterMs = 1000;
+/** Maximum number of reports kept while no leader answers; the oldest are dropped, since later ones are more current. */
+const maxPendingReports = 200;
 
-/** A leader that answers fewer claims than it was asked. */
-const noGrant: PermitResult = {endpoint: undefined, waitMs: disconnectedRetryMs, reservation: undefined};
+/** Grant for a claim that the leader's response does not cover. */
+const noGrant: PermitResult = {endpoint: undefined, waitMs: disconnectedRetryAfterMs, reservation: undefined};
 
-/** The client. */
 export class LimitClient {
 	/** Whether no leader answers. */
 	isDisconnected = false;
-	private next = new LimitBatch();
+	private pending = new LimitBatch();
 	private isCalling = false;
-	private readonly account: LeaderAccount;
+	private readonly leader: LimitLeaderClient;
 	private readonly history: GrantHistory;
 	private readonly localLimits: DisconnectedLimits;
 	private readonly localRates: DisconnectedRates;
-	/** The leader that was told what this entry was granted before. */
-	private knownLeader: string | undefined;
+	/** The leader that has the grant history of this entry. */
+	private informedLeader: string | undefined;
 
 	constructor(private readonly options: LimitClientOptions) {
 		this.history = new GrantHistory(options.windowMs);
 		this.localLimits = new DisconnectedLimits(this.history, options.windowMs);
 		this.localRates = new DisconnectedRates(options);
-		this.account = new LeaderAccount({...options, history: this.history});
+		this.leader = new LimitLeaderClient({...options, history: this.history});
 	}
 
-	/** Entries that share the limits of endpoints; undefined when control has told none. */
-	get entries(): number | undefined {
+	/** Number of entries that share the limits of endpoints; undefined until control has reported it. */
+	get entryCount(): number | undefined {
 		return this.options.readEntryCount();
 	}
 
-	/** Claims what a request costs its workspace. */
-	async claim(workspace: string, cost: number): Promise<ClaimOutcome> {
+	/** Claims the cost of a request from the limit of its workspace. */
+	async claimCost(workspace: string, cost: number): Promise<CostClaimOutcome> {
 		const claim = {workspace, cost};
 		if (this.isDisconnected) {
-			return this.decideLocally(claim);
+			return this.decideCostLocally(claim);
 		}
 
 		return new Promise(resolve => {
-			this.next.claims.push({claim, resolve});
-			void this.callWhileDue();
+			this.pending.costClaims.push({claim, resolve});
+			void this.sendPending();
 		});
 	}
 
-	/** A claim was taken for a request that has not run; the leader hears of it with the next call. */
-	giveBack(workspace: string, cost: number): void {
+	/** Refunds the cost of a request that was not run, with the next call. */
+	refundCost(workspace: string, cost: number): void {
 		if (!this.isDisconnected) {
-			this.next.returned.push({workspace, cost: -cost});
+			this.pending.refunds.push({workspace, cost: -cost});
 		}
 	}
 
-	/** Claims a permit at one of several endpoints. `perSecond` tells their limits as far as this entry knows them. */
-	async claimHandover(claim: PermitClaim, perSecond: ReadonlyMap<string, number>): Promise<HandoverOutcome> {
+	/** Claims a permit at one of several endpoints. `perSecond` has their limits as known to this entry. */
+	async claimPermit(claim: PermitClaim, perSecond: ReadonlyMap<string, number>): Promise<PermitOutcome> {
 		if (this.isDisconnected) {
-			return this.decideHandoverLocally(claim, perSecond);
+			return this.decidePermitLocally(claim, perSecond);
 		}
 
 		return new Promise(resolve => {
-			this.next.handovers.push({claim, perSecond, resolve});
-			void this.callWhileDue();
+			this.pending.permitClaims.push({claim, perSecond, resolve});
+			void this.sendPending();
 		});
 	}
 
-	/** A request that was let through was not handed over; the leader hears of it with the next call. */
-	giveBackHandover(endpoint: string): void {
+	/** Returns a permit that was not used, with the next call. */
+	returnPermit(endpoint: string): void {
 		if (!this.isDisconnected) {
-			this.next.unused.push(endpoint);
+			this.pending.unusedPermits.push(endpoint);
 		}
 	}
 
-	/** A request waits no more; the leader hears of it at once, since others may have its turn. */
-	releaseHandover(reservation: string): void {
+	/** Releases a reservation at once, so that another request can get the permit. */
+	releaseReservation(reservation: string): void {
 		if (!this.isDisconnected) {
-			this.next.released.push(reservation);
-			void this.callWhileDue();
+			this.pending.releasedReservations.push(reservation);
+			void this.sendPending();
 		}
 	}
 
-	/** Tells the leader what an answer said of its endpoint's limit. */
-	tell(word: LimitReport): void {
-		this.next.words.push(word);
-		this.next.words.splice(0, this.next.words.length - maxWaitingWords);
+	/** Reports the limit that an endpoint sent with an answer. */
+	reportLimit(report: LimitReport): void {
+		this.pending.reports.push(report);
+		this.pending.reports.splice(0, this.pending.reports.length - maxPendingReports);
 		if (!this.isDisconnected) {
-			void this.callWhileDue();
+			void this.sendPending();
 		}
 	}
 
-	/** Tells a new leader at once what this entry was granted before, if it was granted anything. */
-	noteLeader(): void {
+	/** Sends the grant history to a new leader at once, unless it is empty. */
+	informNewLeader(): void {
 		const leader = this.options.readLeader();
-		if (leader === this.knownLeader || leader === undefined || this.isDisconnected) {
+		if (leader === this.informedLeader || leader === undefined || this.isDisconnected) {
 			return;
 		}
 
-		this.knownLeader = leader;
+		this.informedLeader = leader;
 		if (this.history.listSums(this.options.now()).size > 0) {
-			void this.account.ask(emptyQuestion);
+			void this.leader.send(emptyLimitRequest);
 		}
 	}
 
-	private async callWhileDue(): Promise<void> {
+	private async sendPending(): Promise<void> {
 		if (this.isCalling) {
 			return;
 		}
 
 		this.isCalling = true;
-		while (this.next.isDue && !this.isDisconnected) {
-			const batch = this.takeNext();
-			// One call after the other.
+		while (this.pending.needsCall && !this.isDisconnected) {
+			const batch = this.takePending();
+			// Calls are sequential.
 			// eslint-disable-next-line no-await-in-loop
-			const answers = await this.account.ask(batch.toQuestion());
+			const answers = await this.leader.send(batch.toRequest());
 			if (answers) {
 				this.settle(batch, answers);
 			} else {
 				this.disconnect();
 				this.settleLocally(batch);
-				// Nobody else looks at what has come up during the call: it would wait for the next leader.
-				this.settleLocally(this.takeNext());
+				// Claims that arrived during the call would otherwise stay pending until a leader answers.
+				this.settleLocally(this.takePending());
 			}
 		}
 
 		this.isCalling = false;
 	}
 
-	private takeNext(): LimitBatch {
-		const batch = this.next;
-		this.next = new LimitBatch();
+	private takePending(): LimitBatch {
+		const batch = this.pending;
+		this.pending = new LimitBatch();
 		return batch;
 	}
 
-	private settle({returned, claims, handovers}: LimitBatch, {waitMs, grants, grantedAt}: LimitResponse): void {
-		claims.forEach(({claim, resolve}, index) => {
-			resolve(this.takeAnswer(claim, waitMs[returned.length + index] ?? 0));
+	private settle({refunds, costClaims, permitClaims}: LimitBatch, {waitMs, grants, grantedAt}: LimitResponse): void {
+		costClaims.forEach(({claim, resolve}, index) => {
+			resolve(this.settleCostClaim(claim, waitMs[refunds.length + index] ?? 0));
 		});
-		handovers.forEach(({resolve}, index) => {
+		permitClaims.forEach(({resolve}, index) => {
 			resolve({...(grants[index] ?? noGrant), grantedAt});
 		});
 	}
 
-	private settleLocally({claims, handovers, words}: LimitBatch): void {
-		this.next.words.push(...words);
-		claims.forEach(({claim, resolve}) => {
-			resolve(this.decideLocally(claim));
+	private settleLocally({costClaims, permitClaims, reports}: LimitBatch): void {
+		this.pending.reports.push(...reports);
+		costClaims.forEach(({claim, resolve}) => {
+			resolve(this.decideCostLocally(claim));
 		});
-		handovers.forEach(({claim, perSecond, resolve}) => {
-			resolve(this.decideHandoverLocally(claim, perSecond));
+		permitClaims.forEach(({claim, perSecond, resolve}) => {
+			resolve(this.decidePermitLocally(claim, perSecond));
 		});
 	}
 
-	private takeAnswer({workspace, cost}: LimitClaim, waitMs: number): ClaimOutcome {
+	private settleCostClaim({workspace, cost}: LimitClaim, waitMs: number): CostClaimOutcome {
 		const now = this.options.now();
 		if (waitMs > 0) {
 			this.localLimits.recordRefusal(workspace, now);
@@ -191,21 +189,21 @@
 		return {isTaken: true, waitMs: 0};
 	}
 
-	private decideLocally({workspace, cost}: LimitClaim): ClaimOutcome {
+	private decideCostLocally({workspace, cost}: LimitClaim): CostClaimOutcome {
 		const now = this.options.now();
 		const isTaken = this.localLimits.mayGrant(workspace, cost, now);
 		if (isTaken) {
 			this.history.record(workspace, cost, now);
 		}
 
-		return {isTaken, waitMs: disconnectedRetryMs};
+		return {isTaken, waitMs: disconnectedRetryAfterMs};
 	}
 
-	private decideHandoverLocally({endpoints}: PermitClaim, perSecond: ReadonlyMap<string, number>): HandoverOutcome {
+	private decidePermitLocally({endpoints}: PermitClaim, perSecond: ReadonlyMap<string, number>): PermitOutcome {
 		return {...this.localRates.claim(endpoints, perSecond, this.options.now()), grantedAt: undefined};
 	}
 
-	/** Decides by itself, and looks for a leader meanwhile. */
+	/** Starts deciding locally, and probes for a leader. */
 	private disconnect(): void {
 		if (this.isDisconnected) {
 			return;
@@ -213,7 +211,7 @@
 
 		this.isDisconnected = true;
 		this.localLimits.disconnect(this.options.now());
-		this.options.onEvent('limits.disconnected', 'no leader answers for limits; each workspace goes on by what it had here, and limited endpoints get this entry\'s part');
+		this.options.onEvent('limits.disconnected', 'no leader answers limit requests; each workspace continues at its recent rate on this entry, and limited endpoints get this entry\'s share of their limits');
 		void this.findLeader();
 	}
 
@@ -221,16 +219,16 @@
 		const {signal, wait, onEvent} = this.options;
 		while (this.isDisconnected && !signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
-			const answers = await this.account.ask(emptyQuestion);
+			const answers = await this.leader.send(emptyLimitRequest);
 			if (answers) {
 				this.isDisconnected = false;
 				this.localLimits.reconnect();
 				this.localRates.reset();
-				onEvent('limits.regained', 'a leader answers for limits');
-				void this.callWhileDue();
+				onEvent('limits.regained', 'a leader answers limit requests again');
+				void this.sendPending();
 			} else {
 				// eslint-disable-next-line no-await-in-loop
-				await wait(probePauseMs, signal);
+				await wait(leaderProbeIntervalMs, signal);
 			}
 		}
 	}
--- a/packages/mastvalve-gateway/src/requests/caller-request.ts
+++ b/packages/mastvalve-gateway/src/requests/caller-request.ts
@@ -1,5 +1,5 @@
 /**
- * A caller's request once it was read whole and has a route.
+ * A caller's request after its body was read and its route found.
  */
 
 import type {IncomingHttpHeaders} from 'node:http';
@@ -7,10 +7,9 @@
 import type {Admission} from '../access/admit-caller.js';
 import type {CallerHeaders} from '../dialect.js';
 
-/** Everything that serving needs. */
 export type CallerRequest = {
 	requestId: string;
-	/** The same for all requests with this content, whatever their identities. */
+	/** Equal for all requests with the same content, regardless of their ids. */
 	fingerprint: string;
 	route: Route;
 	service: string;
@@ -22,16 +21,16 @@
 	headers: IncomingHttpHeaders;
 	rawHeaders: string[];
 	body: Uint8Array;
-	/** Monotonic ms at which its first bytes were here. */
+	/** When its first bytes arrived, monotonic ms. */
 	arrivedAt: number;
-	/** Monotonic ms; the earlier of the caller's deadline and the route's. */
+	/** The earlier of the caller's deadline and the route's, monotonic ms. */
 	deadlineAt: number;
-	/** Monotonic ms; the caller's own deadline. */
+	/** The caller's own deadline, monotonic ms. */
 	callerDeadlineAt: number;
-	/** Aborts when the caller leaves or the deadline has passed. */
+	/** Aborts when the caller disconnects or the deadline passes. */
 	signal: AbortSignal;
 };
 
-/** Whether the request may run again when its fate is unknown. */
+/** Whether the request may be sent again when its outcome is unknown. */
 export const isRepeatable = ({kind, isResumable}: Route): boolean =>
 	kind === RouteKind.Safe || (kind === RouteKind.Stream && isResumable);
--- a/packages/mastvalve-gateway/src/requests/capacity-waiters.ts
+++ b/packages/mastvalve-gateway/src/requests/capacity-waiters.ts
@@ -1,24 +1,22 @@
 /**
- * Requests of one entry that wait for capacity. They look again in order of their urgency when an endpoint takes more or fewer requests
- * than before, and each at the time that it expects capacity; one timer serves them all.
+ * Requests of one entry that wait for capacity. All recheck in order of urgency when the capacity of an endpoint changes, and each one
+ * when it expects capacity. A single timer schedules these rechecks.
  */
 
 import type {Clock} from 'mastvalve-utils';
 
-/** Timers may come a part of a millisecond before their time; a request that asks for its turn too early would get none, ms. */
+/** Added to each timer, ms: timers may fire a fraction of a millisecond early, and a permit that is claimed too early is denied. */
 const timerSlackMs = 1;
 
 type Waiter = {urgency: number; recheck: () => void; recheckAt: number};
 
-/** A request that waits. */
+/** Handle of a waiting request. */
 export type WaiterHandle = {
-	/** Looks again at a moment, monotonic ms. */
+	/** Schedules a recheck, monotonic ms. */
 	scheduleRecheck: (at: number) => void;
-	/** Waits no more. */
 	remove: () => void;
 };
 
-/** The waiting requests. */
 export class CapacityWaiters {
 	private readonly waiters = new Set<Waiter>();
 	private timer: NodeJS.Timeout | undefined;
@@ -26,9 +24,9 @@
 
 	constructor(private readonly clock: Pick<Clock, 'now'>) {}
 
-	/** A request begins to wait; 0 is the most urgent. */
+	/** Adds a waiting request; urgency 0 is the most urgent. */
 	add(urgency: number, recheck: () => void): WaiterHandle {
-		const waiter: Waiter = {urgency, recheck: recheck, recheckAt: Number.POSITIVE_INFINITY};
+		const waiter: Waiter = {urgency, recheck, recheckAt: Number.POSITIVE_INFINITY};
 		this.waiters.add(waiter);
 		return {
 			scheduleRecheck: at => {
@@ -41,7 +39,7 @@
 		};
 	}
 
-	/** An endpoint takes more or fewer requests than before. */
+	/** Rechecks all requests after the capacity of an endpoint has changed. */
 	wakeAll(): void {
 		this.wake(() => true);
 	}
@@ -69,8 +67,8 @@
 	private wakeDue(): void {
 		const now = this.clock.now();
 		this.timerAt = Number.POSITIVE_INFINITY;
-		this.wake(({recheckAt: lookAt}) => lookAt <= now);
-		const next = Math.min(...[...this.waiters].map(({recheckAt: lookAt}) => lookAt));
+		this.wake(({recheckAt}) => recheckAt <= now);
+		const next = Math.min(...[...this.waiters].map(({recheckAt}) => recheckAt));
 		if (Number.isFinite(next)) {
 			this.scheduleTimer(next);
 		}
--- a/packages/mastvalve-gateway/src/requests/claim-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/claim-endpoint.ts
@@ -1,6 +1,6 @@
 /**
- * Finds an endpoint for an attempt. Where only endpoints are left that have named a limit, one permit is claimed at all of them together:
- * the first that has one gives it, or the request waits for its turn at one of them.
+ * Finds an endpoint for an attempt. If all remaining endpoints are rate limited, a single claim covers them all: it is granted by the
+ * first endpoint with a free permit, or it reserves a permit at one of them.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
@@ -13,29 +13,29 @@
 import {rankRequest} from './rank-request.js';
 import {waitForEndpoint} from './wait-for-endpoint.js';
 
-/** Time in which a claim is answered, ms; a turn that is granted at the last moment would be over when the answer is here. */
+/** Time reserved for the reply to a claim, ms: a reservation granted at the last moment would expire before the reply arrives. */
 const claimReplyMs = 50;
 
-/** An endpoint that may get the request now. */
+/** An endpoint that the request may be sent to now. */
 export type ClaimedEndpoint = {
 	endpoint: FleetEndpoint;
-	/** When its limit let the request through; undefined for one without a limit. */
+	/** When the leader granted the permit; undefined for an endpoint without a limit, or when no leader counted it. */
 	grantedAt: LimitTimestamp | undefined;
 };
 
-/** Gives up the turn that a request waits for. */
+/** Releases the permit reservation of a request, if it has one. */
 export const releaseReservation = (core: GatewayCore, progress: RequestProgress): void => {
 	if (progress.reservation !== undefined) {
-		core.limiter.release(progress.reservation);
+		core.limiter.releaseReservation(progress.reservation);
 		progress.reservation = undefined;
 	}
 };
 
-/** Claims a permit; undefined when the request has to wait for its turn, or there is none in time. */
+/** Claims a permit; undefined when the request has to wait for its reservation, or no permit is expected in time. */
 const claimPermit = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<ClaimedEndpoint | undefined> => {
 	const limited = listLimitedCandidates(core, request, progress);
 	const maxWaitMs = hasUnlimitedCandidate(core, request, progress) ? 0 : Math.max(0, computeRemainingWaitMs(core, request) - claimReplyMs);
-	// The limit is on what all entries send together: one that only minds its own requests can't keep to it.
+	// The limit applies to all entries together, so an entry can't enforce it by counting only its own requests.
 	const {endpoint: granted, waitMs, reservation, grantedAt} = await core.limiter.claim(limited, {urgency: rankRequest(core, request), maxWaitMs, reservation: progress.reservation});
 	progress.reservation = reservation;
 	const endpoint = limited.find(({id}) => id === granted);
@@ -44,18 +44,18 @@
 		return {endpoint, grantedAt};
 	}
 
-	const askAgainAt = core.clock.now() + waitMs;
+	const permitRetryAt = core.clock.now() + waitMs;
 	limited.forEach(({id}) => {
-		progress.permitRetryAt.set(id, askAgainAt);
+		progress.permitRetryAt.set(id, permitRetryAt);
 	});
 	return undefined;
 };
 
-/** Finds an endpoint, or says why there is none. */
+/** Finds an endpoint, or returns the reason why there is none. */
 export const claimEndpoint = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<ClaimedEndpoint | NoEndpoint> => {
 	let found = await waitForEndpoint(core, request, progress);
-	while (!('reason' in found) && core.limiter.limitOf(found) !== undefined) {
-		// One claim after the other.
+	while (!('reason' in found) && core.limiter.findLimit(found) !== undefined) {
+		// Claims are sequential.
 		// eslint-disable-next-line no-await-in-loop
 		const claimed = await claimPermit(core, request, progress);
 		if (claimed) {
--- a/packages/mastvalve-gateway/src/requests/fail-request.ts
+++ b/packages/mastvalve-gateway/src/requests/fail-request.ts
@@ -1,6 +1,6 @@
 /**
- * The end of a request that no endpoint has answered: when to try on, and what its caller is told. "Not run" is said only of what was
- * handed to nobody, or what its endpoint says it did not run.
+ * Decides whether an unanswered request is retried, and answers its caller otherwise. The answer states "not run" only if the request
+ * was sent to no endpoint, or if each endpoint stated that it did not run it.
  */
 
 import {keyRefusals} from '../access/admit-caller.js';
@@ -10,27 +10,26 @@
 import type {Reply} from './reply.js';
 import {computeRetryAfterMs} from './wait-for-capacity.js';
 
-/** Endpoints that may be out of reach before a request is given up; nothing was handed to them. */
+/** Unreachable endpoints after which a request fails; it was sent to none of them. */
 const maxUnsentAttempts = 3;
-/** What is left of the time must be worth an attempt, ms. */
+/** Minimum remaining time for another attempt, ms. */
 const minAttemptMs = 20;
-/** Pause of a caller after a refusal that says nothing else, ms. */
+/** Retry-After of refusals without a more specific delay, ms. */
 const defaultRetryAfterMs = 100;
 
-/** Why a request is given up, and what its caller learns when it was not run. */
+/** Why a request fails, and the answer to its caller if it was not run. */
 export type RequestFailure = {
 	reason: string;
-	/** When it may come again, ms. */
+	/** Delay before the caller may retry, ms. */
 	retryAfterMs?: number | undefined;
 	code?: string;
-	/** 503 when nothing else is told. */
+	/** 503 by default. */
 	status?: number;
 };
 
-/** Whether there is time for another attempt. */
 export const hasTimeForAttempt = ({clock}: GatewayCore, {deadlineAt}: CallerRequest): boolean => clock.now() + minAttemptMs < deadlineAt;
 
-/** Whether the request is over after an attempt that did not answer it. */
+/** Fails a request after an unanswered attempt unless it can be retried; true when it has failed. */
 export const failUnlessRetryable = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, reason: string): boolean => {
 	const {route} = request;
 	const isRetrySafe = !progress.mayHaveRun || isRepeatable(route);
@@ -44,8 +43,8 @@
 };
 
 /**
- * Refuses a request under which several endpoints have crashed: handed to another one it would end that too, with
- * all that runs there. True when it was refused.
+ * Rejects a quarantined request: several endpoints crashed while serving its content, and another one would crash too, together with
+ * all requests that run there. Returns true when it was rejected.
  */
 export const rejectQuarantined = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress): boolean => {
 	const remainingMs = core.quarantine.remainingMs(request.fingerprint);
@@ -58,7 +57,7 @@
 	return true;
 };
 
-/** The key of a request was taken away while it waited, or this entry can't tell any more: it is handed to nobody. */
+/** Rejects a request whose key was revoked while it waited, or can no longer be verified by this entry; it isn't sent to any endpoint. */
 export const rejectKey = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, kind: keyof typeof keyRefusals): void => {
 	const {status, code, retryAfterSeconds} = keyRefusals[kind];
 	failRequest(core, request, reply, progress, {
@@ -66,7 +65,7 @@
 	});
 };
 
-/** Gives a request up, unless its caller has left. */
+/** Answers the caller of a failed request, unless the caller has disconnected. */
 export const failRequest = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, {reason, retryAfterMs = defaultRetryAfterMs, code = 'overloaded', status = 503}: RequestFailure): void => {
 	if (request.signal.aborted) {
 		return;
--- a/packages/mastvalve-gateway/src/requests/handle-answer.ts
+++ b/packages/mastvalve-gateway/src/requests/handle-answer.ts
@@ -1,5 +1,5 @@
 /**
- * Takes an endpoint's answer: passes it on if it is one for the caller, and learns from it.
+ * Handles an endpoint's answer: records its outcome, and relays it to the caller or retries.
  */
 
 import {RetryAfterKind} from 'mastvalve-limits';
@@ -15,12 +15,11 @@
 import type {Reply} from './reply.js';
 
 const okStatus = 200;
-/** From here on an endpoint has failed. */
 const minServerErrorStatus = 500;
-/** Statuses by which an endpoint promises that it did not run a request, if it says so. */
+/** Statuses of refusals. Only the header of the dialect states that the request was not run. */
 const refusalStatuses = new Set([408, 421, 429, 503]);
 
-/** One line for a whole answer: when it began and ended, where it came from, and on which state the choice rested. */
+/** Logs a complete answer: its endpoint and times, and the revision that the endpoint was selected by. */
 const logAnswer = (core: GatewayCore, request: CallerRequest, progress: RequestProgress, {endpoint, status, headAt}: {endpoint: string; status: number; headAt: number}): void => {
 	core.log('request.answered', {
 		request: request.requestId,
@@ -37,10 +36,10 @@
 	});
 };
 
-/** The head of an answer, and the use of the endpoint that has sent it. */
+/** The head of an answer, and the endpoint that sent it. */
 export type ReceivedAnswer = ClaimedEndpoint & {outcome: Extract<ExchangeOutcome, {kind: ExchangeKind.Answered}>; use: EndpointRequest};
 
-/** Takes an answer's head, and its body if it is one for the caller; true when the request is over. */
+/** Handles an answer and relays its body if it is for the caller; true when the request has ended. */
 export const handleAnswer = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, {endpoint, grantedAt, outcome, use}: ReceivedAnswer): Promise<boolean> => {
 	const {res, cancel, isBroken} = outcome;
 	const status = res.statusCode ?? 0;
@@ -65,7 +64,7 @@
 		progress.mayHaveRun = true;
 		core.tracker.recordFailure(endpoint.id);
 		core.log('attempt.failed', {
-			request: request.requestId, fingerprint: request.fingerprint, endpoint: endpoint.id, status, reason: isForOtherRequest ? `the answer belongs to ${head.requestId}` : 'a refusal without a promise',
+			request: request.requestId, fingerprint: request.fingerprint, endpoint: endpoint.id, status, reason: isForOtherRequest ? `the answer belongs to ${head.requestId}` : 'refusal without the statement that the request was not run',
 		});
 		return failUnlessRetryable(core, request, reply, progress, `an answer with status ${status} that can't be passed on`);
 	}
--- a/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
@@ -1,5 +1,5 @@
 /**
- * All that must be settled before a request is handed over: an endpoint that takes it, a retry if it is one, and a key that still holds.
+ * Checks the conditions for sending a request: an endpoint that accepts it, a retry permit if it is a retry, and a key that is still valid.
  */
 
 import type {Workspace} from 'mastvalve-access';
@@ -12,15 +12,15 @@
 import type {RequestProgress} from './request-progress.js';
 import type {Reply} from './reply.js';
 
-/** An attempt that may be made at once, and counts at its endpoint already. */
+/** An attempt that may be sent now and is already counted as in flight at its endpoint. */
 export type PreparedAttempt = ClaimedEndpoint & {workspace: Workspace | undefined; use: EndpointRequest};
 
-/** An endpoint that was chosen may have asked for backoff or begun to leave since then, or others may have used its capacity. */
+/** Claims again while the claimed endpoint has since asked for backoff, begun to leave, or lost its capacity to other requests. */
 const claimAdmittingEndpoint = async (core: GatewayCore, request: CallerRequest, progress: RequestProgress): Promise<Awaited<ReturnType<typeof claimEndpoint>>> => {
 	let claimed = await claimEndpoint(core, request, progress);
 	while (!('reason' in claimed) && !core.tracker.canSend(claimed.endpoint.id)) {
-		core.limiter.giveBack(claimed.endpoint, claimed.grantedAt);
-		// One endpoint after the other.
+		core.limiter.returnPermit(claimed.endpoint, claimed.grantedAt);
+		// Claims are sequential.
 		// eslint-disable-next-line no-await-in-loop
 		claimed = await claimEndpoint(core, request, progress);
 	}
@@ -28,7 +28,7 @@
 	return claimed;
 };
 
-/** Prepares an attempt; undefined when the request is over. */
+/** Prepares an attempt; undefined when the request has ended. */
 export const prepareAttempt = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress): Promise<PreparedAttempt | undefined> => {
 	const claimed = await claimAdmittingEndpoint(core, request, progress);
 	const workspace = checkAttempt(core, request, reply, progress, claimed);
@@ -37,16 +37,16 @@
 	}
 
 	if (!workspace) {
-		core.limiter.giveBack(claimed.endpoint, claimed.grantedAt);
+		core.limiter.returnPermit(claimed.endpoint, claimed.grantedAt);
 		return undefined;
 	}
 
 	return {...claimed, workspace: workspace.current, use: core.tracker.beginRequest(claimed.endpoint.id, request.caller.promptTokens)};
 };
 
-/** Whose request it is, if it may be handed over; otherwise its caller has been told. */
+/** Returns the current workspace if the request may be sent; otherwise undefined, after its caller was answered. */
 const checkAttempt = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, claimed: Awaited<ReturnType<typeof claimEndpoint>>): {current: Workspace | undefined} | undefined => {
-	// It may have come under quarantine while it waited, or by the try before this one.
+	// It may have been quarantined while it waited, or by its previous attempt.
 	if (rejectQuarantined(core, request, reply, progress)) {
 		return undefined;
 	}
@@ -65,7 +65,7 @@
 		return undefined;
 	}
 
-	// Seconds may have gone by since it arrived. A new connection takes up to 0.4 s from here, which the reserve of the evidence covers.
+	// The key may have been revoked in the seconds since arrival. Connecting takes up to 0.4 s more, which the margin on the age of key data covers.
 	const access = core.access.judge(request.admission.key, request.route);
 	if (!isGranted(access)) {
 		rejectKey(core, request, reply, progress, access.kind);
--- a/packages/mastvalve-gateway/src/requests/record-answer-head.ts
+++ b/packages/mastvalve-gateway/src/requests/record-answer-head.ts
@@ -1,5 +1,5 @@
 /**
- * What the head of an answer says of its endpoint, and where that is kept.
+ * Records what the head of an answer reports about its endpoint.
  */
 
 import {parseIncarnation, type FleetEndpoint} from 'mastvalve-fleet';
@@ -13,7 +13,7 @@
 
 const unavailableStatus = 503;
 
-/** One line when the word of an endpoint on its limit is another than that of its answer before. */
+/** Logs a reported limit that differs from the one in the endpoint's previous answer. */
 const logLimitChange = (core: GatewayCore, {requestId}: CallerRequest, endpoint: string, {limit}: AnswerHeaders): void => {
 	if (core.tracker.recordAnnouncedLimit(endpoint, limit)) {
 		core.log('endpoint.limit-told', {
@@ -22,11 +22,11 @@
 	}
 };
 
-/** Whether another endpoint has answered than the one that was meant. */
+/** Whether the answer comes from an endpoint other than the addressed one. */
 const isDifferentEndpoint = (endpoint: FleetEndpoint, {endpointName}: AnswerHeaders): boolean =>
 	endpointName !== undefined && endpointName !== parseIncarnation(endpoint.id).name;
 
-/** Remembers that an endpoint is another one, or lacks a model which it was thought to hold. */
+/** Records that the address belongs to another endpoint, or that the endpoint lacks a model that it was expected to hold. */
 export const recordMisdirection = (core: GatewayCore, {caller}: CallerRequest, endpoint: FleetEndpoint, head: AnswerHeaders): void => {
 	if (!head.isMisdirected) {
 		return;
@@ -41,7 +41,7 @@
 	core.demand.recordMisdirected(endpoint.id);
 };
 
-/** A 503 with a delay is a request of the whole endpoint; a 429 concerns the request that it answers, which doesn't go there again. */
+/** Records a backoff. A 503 with a delay applies to the whole endpoint; a 429 applies only to its own request, which isn't sent there again. */
 const recordBackoff = (core: GatewayCore, {requestId}: CallerRequest, {id}: FleetEndpoint, status: number, {retryAfter}: AnswerHeaders): void => {
 	if (status !== unavailableStatus || retryAfter.kind !== RetryAfterKind.Delay || retryAfter.delayMs === 0) {
 		return;
@@ -52,7 +52,7 @@
 	core.log('endpoint.backoff', {request: requestId, endpoint: id, delayMs: retryAfter.delayMs});
 };
 
-/** Control is told, since not all entries meet the endpoint, and heartbeats may go on as before. */
+/** Reports a leaving endpoint to control as well: other entries may not use the endpoint, and its heartbeats may continue unchanged. */
 const recordLeaving = (core: GatewayCore, {requestId}: CallerRequest, {id}: FleetEndpoint, {isLeaving}: AnswerHeaders): void => {
 	if (isLeaving && core.tracker.recordLeaving(id)) {
 		core.demand.recordLeaving(id);
@@ -60,16 +60,16 @@
 	}
 };
 
-/** A request that was answered: whom it went to, and its use of that endpoint. */
+/** The endpoint that sent an answer, and the status. */
 export type AnswerSource = ClaimedEndpoint & {use: EndpointRequest; status: number};
 
-/** Learns from a head. One that belongs to another request, or comes from another endpoint, says nothing of this one. */
+/** Records the head. The limit, backoff and leaving state are ignored if it belongs to another request or another endpoint. */
 export const recordAnswerHead = (core: GatewayCore, request: CallerRequest, {endpoint, grantedAt, use, status}: AnswerSource, head: AnswerHeaders): void => {
 	core.tracker.recordLoad(endpoint.id, head.load);
 	const isForOtherRequest = head.requestId !== undefined && head.requestId !== request.requestId;
 	if (!isForOtherRequest && !isDifferentEndpoint(endpoint, head)) {
 		logLimitChange(core, request, endpoint.id, head);
-		core.limiter.hear(endpoint, head.limit, grantedAt);
+		core.limiter.recordReportedLimit(endpoint, head.limit, grantedAt);
 		recordBackoff(core, request, endpoint, status, head);
 		recordLeaving(core, request, endpoint, head);
 	}
--- a/packages/mastvalve-gateway/src/requests/relay-body.ts
+++ b/packages/mastvalve-gateway/src/requests/relay-body.ts
@@ -1,7 +1,7 @@
 /**
- * Passes the body of an endpoint's answer to the caller as it arrives.
+ * Relays the body of an endpoint's answer to the caller as it arrives.
  *
- * For a stream that may go on elsewhere only whole events are passed, and the id of the last one is kept.
+ * Of a resumable stream, only complete events are relayed, and the id of the last one is recorded.
  */
 
 import {Buffer} from 'node:buffer';
@@ -11,12 +11,12 @@
 const eventDelimiter = '\n\n';
 const idPattern = /^id: ?(?<id>.*)$/gmv;
 
-/** How far a stream is with the caller. */
+/** Position of the caller in a resumable stream. */
 export class StreamPosition {
 	lastEventId: string | undefined;
 	private partialEvent = Buffer.alloc(0);
 
-	/** The whole events so far; the rest waits. */
+	/** Returns the complete events and buffers the remainder. */
 	takeCompleteEvents(chunk: Uint8Array): Uint8Array {
 		const bytes = Buffer.concat([this.partialEvent, chunk]);
 		const at = bytes.lastIndexOf(eventDelimiter);
@@ -26,20 +26,20 @@
 		return complete;
 	}
 
-	/** What is left at the end of a whole answer. */
+	/** Returns the buffered bytes at the end of a complete answer. */
 	takeRemainder(): Uint8Array {
 		const remainder = this.partialEvent;
 		this.partialEvent = Buffer.alloc(0);
 		return remainder;
 	}
 
-	/** Forgets the piece of an event that a broken answer left. */
+	/** Discards a partial event after a broken answer. */
 	dropPartialEvent(): void {
 		this.partialEvent = Buffer.alloc(0);
 	}
 }
 
-/** Relays; resolves to true when the answer was whole. */
+/** Relays a body with backpressure; resolves to true when the answer was complete. */
 export const relayBody = async (res: IncomingMessage, reply: Reply, position: StreamPosition | undefined, isBroken: () => boolean): Promise<boolean> =>
 	new Promise(resolve => {
 		res.on('data', (chunk: Uint8Array) => {
--- a/packages/mastvalve-gateway/src/requests/request-fingerprint.ts
+++ b/packages/mastvalve-gateway/src/requests/request-fingerprint.ts
@@ -1,12 +1,12 @@
 /**
- * What tells that a request is the repetition of another one, although its identity is new and it comes through another
- * entry: the same method, host, path, model and body. Parts that a caller sets anew each time (identity, time left) don't count.
+ * Fingerprint of the content of a request: method, host, path, model, adapter and body. Repetitions share it across request ids and
+ * entries; parts that a caller sets anew each time (request id, remaining time) are excluded.
  */
 
 import {createHash} from 'node:crypto';
 import type {CallerHeaders} from '../dialect.js';
 
-/** The parts of a request that its repetitions share. */
+/** The parts of a request that the fingerprint covers. */
 export type RequestContent = {
 	method: string;
 	host: string;
@@ -16,10 +16,10 @@
 	body: Uint8Array;
 };
 
-/** Hexadecimal digits that are kept: 64 bits. Two of a million different requests are alike with a chance of 1 in 37 million. */
+/** Hexadecimal digits of a fingerprint: 64 bits. The probability of a collision among a million different requests is 1 in 37 million. */
 const fingerprintDigits = 16;
 
-/** The fingerprint, the same at all entries. */
+/** Computes the fingerprint, which is the same on all entries. */
 export const fingerprintRequest = ({method, host, path, caller, body}: RequestContent): string =>
 	createHash('sha256')
 		.update(JSON.stringify([method, host.toLowerCase(), path, caller.model, caller.adapter]))
--- a/packages/mastvalve-gateway/src/requests/request-progress.ts
+++ b/packages/mastvalve-gateway/src/requests/request-progress.ts
@@ -1,32 +1,33 @@
 /**
- * How far the serving of one request has come.
+ * Progress of one request across its attempts.
  */
 
 import {StreamPosition} from './relay-body.js';
 import type {CallerRequest} from './caller-request.js';
 
-/** What became of the tries so far. */
 export type RequestProgress = {
+	/** Ids of the endpoints that it was sent to. */
 	tried: Set<string>;
-	/** When limited endpoints that had no permit for it may be asked again, by endpoint; monotonic ms. */
+	/** When a permit may be claimed again at a limited endpoint that had none, by endpoint id; monotonic ms. */
 	permitRetryAt: Map<string, number>;
-	/** The turn that it waits for at a limited endpoint. */
+	/** Reservation of a permit at a limited endpoint. */
 	reservation: string | undefined;
+	/** Attempts that may have reached an endpoint. */
 	sentCount: number;
+	/** Attempts that did not reach their endpoint. */
 	unsentCount: number;
-	/** Whether some endpoint may have run it. */
+	/** Whether any endpoint may have run the request. */
 	mayHaveRun: boolean;
 	streamPosition: StreamPosition | undefined;
 };
 
-/** Nothing was tried yet. */
 export const createRequestProgress = ({route, caller}: CallerRequest): RequestProgress => {
-	const position = route.isResumable ? new StreamPosition() : undefined;
-	if (position && caller.resumeAfter !== undefined) {
-		position.lastEventId = caller.resumeAfter;
+	const streamPosition = route.isResumable ? new StreamPosition() : undefined;
+	if (streamPosition && caller.resumeAfter !== undefined) {
+		streamPosition.lastEventId = caller.resumeAfter;
 	}
 
 	return {
-		tried: new Set(), permitRetryAt: new Map(), reservation: undefined, sentCount: 0, unsentCount: 0, mayHaveRun: false, streamPosition: position,
+		tried: new Set(), permitRetryAt: new Map(), reservation: undefined, sentCount: 0, unsentCount: 0, mayHaveRun: false, streamPosition,
 	};
 };
--- a/packages/mastvalve-gateway/src/requests/select-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/select-endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of an endpoint for a request, from what the entry knows at this moment.
+ * Selects an endpoint for a request from the current state of the entry.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
@@ -9,42 +9,42 @@
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
 
-/** What a request has tried so far. */
+/** Earlier attempts of a request. */
 export type PriorAttempts = {
-	/** Endpoints that it was sent to. */
+	/** Ids of the endpoints that it was sent to. */
 	tried: ReadonlySet<string>;
-	/** When limited endpoints that had no permit for it may be asked again, by endpoint; monotonic ms. */
+	/** When a permit may be claimed again at a limited endpoint that had none, by endpoint id; monotonic ms. */
 	permitRetryAt: ReadonlyMap<string, number>;
 };
 
-const readChoiceInput = (core: GatewayCore, request: CallerRequest, {tried, permitRetryAt: askAgainAt}: PriorAttempts): EndpointChoiceInput => ({
+const readChoiceInput = (core: GatewayCore, request: CallerRequest, {tried, permitRetryAt}: PriorAttempts): EndpointChoiceInput => ({
 	endpoints: core.view.listEndpoints(request.service),
 	model: request.caller.model,
 	adapter: request.caller.adapter,
 	failureDomain: core.failureDomain,
 	attemptedIds: tried,
-	permitRetryAt: askAgainAt,
+	permitRetryAt,
 	now: core.clock.now(),
 	getObservations: id => core.tracker.getOrCreate(id),
-	isLimited: endpoint => core.limiter.limitOf(endpoint) !== undefined,
-	limitedProbeMs: core.limiter.probePauseMs,
+	isLimited: endpoint => core.limiter.findLimit(endpoint) !== undefined,
+	limitedProbeMs: core.limiter.probeIntervalMs,
 	random: core.random,
 	firstByteMs: core.firstByteTimes.getFirstByteMs(request.caller.model ?? ''),
 	prefillMsPerToken: core.firstByteTimes.getPrefillMsPerToken(request.caller.model ?? ''),
 });
 
-/** Chooses among what is here now. */
-export const selectEndpoint = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): FleetEndpoint | undefined =>
-	chooseEndpoint(readChoiceInput(core, request, tries));
+/** Selects the endpoint to send to now; undefined when there is none. */
+export const selectEndpoint = (core: GatewayCore, request: CallerRequest, attempts: PriorAttempts): FleetEndpoint | undefined =>
+	chooseEndpoint(readChoiceInput(core, request, attempts));
 
-/** Limited endpoints that may be asked for a permit now, the best first. */
-export const listLimitedCandidates = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): FleetEndpoint[] =>
-	listLimitedEndpoints(readChoiceInput(core, request, tries));
+/** Limited endpoints where a permit may be claimed now, best first. */
+export const listLimitedCandidates = (core: GatewayCore, request: CallerRequest, attempts: PriorAttempts): FleetEndpoint[] =>
+	listLimitedEndpoints(readChoiceInput(core, request, attempts));
 
-/** Whether an endpoint without a limit may get the request now. */
-export const hasUnlimitedCandidate = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): boolean =>
-	hasUnlimitedEndpoint(readChoiceInput(core, request, tries));
+/** Whether an endpoint without a limit accepts the request now. */
+export const hasUnlimitedCandidate = (core: GatewayCore, request: CallerRequest, attempts: PriorAttempts): boolean =>
+	hasUnlimitedEndpoint(readChoiceInput(core, request, attempts));
 
-/** What is expected of the endpoints that could take the request. */
-export const listCapacityForecasts = (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): ExpectedCapacity[] =>
-	listExpectedCapacity(readChoiceInput(core, request, tries));
+/** Expected capacity of each endpoint that could serve the request. */
+export const listCapacityForecasts = (core: GatewayCore, request: CallerRequest, attempts: PriorAttempts): ExpectedCapacity[] =>
+	listExpectedCapacity(readChoiceInput(core, request, attempts));
--- a/packages/mastvalve-gateway/src/requests/send-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/send-attempt.ts
@@ -1,5 +1,5 @@
 /**
- * Hands a request to an endpoint, unaltered but for what is the entry's to set.
+ * Sends a request to an endpoint; only the headers that the entry owns are changed.
  */
 
 import type {Workspace} from 'mastvalve-access';
@@ -11,16 +11,16 @@
 import type {RequestProgress} from './request-progress.js';
 import {rankRequest} from './rank-request.js';
 
-/** A connection within a region is up in a few ms; a lost packet delays it by a second, ms. */
+/** Connect timeout, ms: connecting within a region takes a few ms, and a lost packet delays it by a second. */
 const connectTimeoutMs = 400;
 
-/** Whether the caller announced a body, even an empty one. */
+/** Whether the caller declared a body, even an empty one. */
 const hasBody = ({headers}: CallerRequest): boolean => headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 
-/** Where a request goes, and in whose name. */
+/** Endpoint of an attempt, and the workspace that it is sent for. */
 export type AttemptTarget = {endpoint: FleetEndpoint; workspace: Workspace | undefined};
 
-/** One attempt, up to the head of an answer. */
+/** Sends one attempt; resolves when the head of the answer arrives, or when the attempt fails. */
 export const sendAttempt = async (core: GatewayCore, request: CallerRequest, {endpoint, workspace}: AttemptTarget, progress: RequestProgress): Promise<ExchangeOutcome> => {
 	const {caller, callerDeadlineAt, deadlineAt} = request;
 	const remainingMs = Math.max(1, Math.floor(Math.min(callerDeadlineAt, deadlineAt) - core.clock.now()));
--- a/packages/mastvalve-gateway/src/requests/serve-request.ts
+++ b/packages/mastvalve-gateway/src/requests/serve-request.ts
@@ -1,6 +1,5 @@
 /**
- * Serves one request: finds an endpoint, hands the request over, passes the answer on; tries again only where that can
- * do no harm.
+ * Serves one request: selects an endpoint, sends the request and relays the answer. Retries only if a second run is safe.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
@@ -17,7 +16,7 @@
 
 const okStatus = 200;
 
-/** Serves a request; the reply is over when this resolves. The result says whether the request may have run. */
+/** Serves a request; resolves when the reply has ended, to whether the request may have run. */
 export const serveRequest = async (core: GatewayCore, request: CallerRequest, reply: Reply): Promise<boolean> => {
 	const {caller} = request;
 	const progress = createRequestProgress(request);
@@ -32,7 +31,7 @@
 
 	let isOver = false;
 	while (!isOver && !reply.isClosed && !request.signal.aborted) {
-		// Attempts follow each other.
+		// Attempts are sequential.
 		// eslint-disable-next-line no-await-in-loop
 		isOver = await runAttempt(core, request, reply, progress);
 	}
@@ -40,7 +39,7 @@
 	return progress.mayHaveRun;
 };
 
-/** One attempt; true when the request is over. */
+/** Runs one attempt; true when the request has ended. */
 const runAttempt = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress): Promise<boolean> => {
 	const attempt = await prepareAttempt(core, request, reply, progress);
 	if (!attempt) {
@@ -86,7 +85,7 @@
 	return failUnlessRetryable(core, request, reply, progress, outcome.reason);
 };
 
-/** Learns from the time in which an engine began to answer. */
+/** Records the time until an engine began to answer. */
 const recordHeadTime = (core: GatewayCore, {caller}: CallerRequest, {id}: FleetEndpoint, status: number, headMs: number): void => {
 	if (caller.model === undefined || status !== okStatus) {
 		return;
--- a/packages/mastvalve-gateway/src/requests/wait-budget.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-budget.ts
@@ -1,25 +1,25 @@
 /**
- * How long a request can wait for an endpoint, and what is said when there is none.
+ * Computes how long a request may wait for an endpoint, and the refusal when there is none.
  */
 
 import type {GatewayCore} from '../server/gateway-core.js';
 import type {CallerRequest} from './caller-request.js';
 
-/** An expected load or permit may come later by this, since callers wait for the first event behind it, ms. */
+/** Margin on the expected time of a load or permit, ms, since the caller's deadline applies to the first event after it. */
 export const forecastMarginMs = 300;
 
-/** Why a request can't be sent anywhere, and when to ask again. */
+/** Why no endpoint accepts a request, and the delay before a retry. */
 export type NoEndpoint = {reason: string; retryAfterMs: number};
 
-/** Shortest time after which a refused caller comes again, ms. */
+/** Minimum Retry-After, ms. */
 const minRetryAfterMs = 50;
 
-/** Endpoints that could take it restrict what they take, and none of them does in time. */
+/** Creates the refusal for a request whose endpoints are all limited or in backoff past its deadline. */
 export const createCapacityRefusal = (waitMs: number): NoEndpoint =>
 	({reason: 'the endpoints that could take it are at their limits or have asked for backoff', retryAfterMs: Math.max(minRetryAfterMs, waitMs)});
 
-/** When the caller gives up if nothing came; monotonic ms. */
+/** When the caller gives up if the answer has not begun, monotonic ms. */
 export const computeWaitDeadline = ({arrivedAt, deadlineAt, route}: CallerRequest): number => Math.min(deadlineAt, arrivedAt + (route.patienceMs ?? Number.POSITIVE_INFINITY));
 
-/** How long a request can still wait, ms. */
+/** Time for which a request may still wait, ms. */
 export const computeRemainingWaitMs = ({clock}: GatewayCore, request: CallerRequest): number => computeWaitDeadline(request) - forecastMarginMs - clock.now();
--- a/packages/mastvalve-gateway/src/requests/wait-for-capacity.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Waits for capacity at endpoints that restrict what they take, and only while it is expected before the caller gives up. What can't be
- * served in time is refused at once, with the time of the next capacity.
+ * Waits for capacity at endpoints that are limited or in backoff, while it is expected before the caller gives up. A request that can't be
+ * served in time is refused at once, with the time until the next capacity as Retry-After.
  */
 
 import type {FleetEndpoint} from 'mastvalve-fleet';
@@ -14,13 +14,13 @@
 } from './wait-budget.js';
 import {rankRequest} from './rank-request.js';
 
-/** When the first endpoint has capacity, monotonic ms; `now` for one that waits for an answer in progress, undefined when there is none. */
+/** When the first endpoint has capacity, monotonic ms; `now` for one that waits for an answer in flight, undefined when there is none. */
 const findCapacityAt = (expected: readonly ExpectedCapacity[], now: number): number | undefined => {
 	const times = expected.map(({admission}) => (admission.kind === AdmissionKind.At ? admission.at : now));
 	return times.length === 0 ? undefined : Math.min(...times);
 };
 
-/** Time until a request that is refused now may be served, ms; undefined when some endpoint can take it now, or none ever. */
+/** Time until a refused request may be served, ms; undefined when an endpoint accepts it now, or none will. */
 export const computeRetryAfterMs = (core: GatewayCore, request: CallerRequest): number | undefined => {
 	const now = core.clock.now();
 	const expected = listCapacityForecasts(core, request, {tried: new Set(), permitRetryAt: new Map()});
@@ -29,13 +29,13 @@
 	return isFree || at === undefined ? undefined : at - now;
 };
 
-/** Until when a request may wait for an endpoint; one that may well refuse it again is waited for only while the answer can be in time. */
+/** Until when a request may wait for an endpoint, monotonic ms. If the endpoint may refuse it again, waiting ends at the route's objective. */
 const computeWaitEnd = (request: CallerRequest, {isReliable}: ExpectedCapacity): number => {
 	const latest = computeWaitDeadline(request) - forecastMarginMs;
 	return isReliable ? latest : Math.min(latest, request.arrivedAt + request.route.objectiveMs);
 };
 
-/** When to look again: at the next capacity that is expected in time, or when waiting ends; undefined when nothing is worth waiting for. */
+/** When to recheck: at the next capacity expected in time, or when waiting ends, monotonic ms; undefined when none is expected in time. */
 const findNextRecheckAt = (request: CallerRequest, expected: readonly ExpectedCapacity[], now: number): number | undefined => {
 	const times = expected.flatMap(each => {
 		const endAt = computeWaitEnd(request, each);
@@ -45,8 +45,8 @@
 	return times.length === 0 ? undefined : Math.min(...times);
 };
 
-/** Waits until an endpoint may take the request, or says why none will. */
-export const waitForCapacity = async (core: GatewayCore, request: CallerRequest, tries: PriorAttempts): Promise<FleetEndpoint | NoEndpoint> => {
+/** Waits until an endpoint accepts the request; otherwise returns the refusal. */
+export const waitForCapacity = async (core: GatewayCore, request: CallerRequest, attempts: PriorAttempts): Promise<FleetEndpoint | NoEndpoint> => {
 	const {clock, view, waiters, demand, drainListeners, log, observer} = core;
 	const {caller: {model, adapter}, signal} = request;
 	const startedAt = clock.now();
@@ -55,7 +55,7 @@
 		return createCapacityRefusal((findCapacityAt(expected, now) ?? now) - now);
 	};
 
-	const first = listCapacityForecasts(core, request, tries);
+	const first = listCapacityForecasts(core, request, attempts);
 	if (findNextRecheckAt(request, first, startedAt) === undefined || core.isDraining()) {
 		return refuse(first);
 	}
@@ -76,12 +76,12 @@
 		};
 
 		const stopWaiting = (): void => {
-			settle(refuse(listCapacityForecasts(core, request, tries)));
+			settle(refuse(listCapacityForecasts(core, request, attempts)));
 		};
 
 		const recheck = (): void => {
-			const endpoint = selectEndpoint(core, request, tries);
-			const recheckAt = findNextRecheckAt(request, listCapacityForecasts(core, request, tries), clock.now());
+			const endpoint = selectEndpoint(core, request, attempts);
+			const recheckAt = findNextRecheckAt(request, listCapacityForecasts(core, request, attempts), clock.now());
 			if (endpoint) {
 				settle(endpoint);
 			} else if (recheckAt === undefined) {
--- a/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
@@ -1,8 +1,8 @@
 /**
- * Waits for an endpoint that may take a request: at once if there is one, else until a load of its model brings one.
+ * Waits for an endpoint that accepts a request: one that is available, or one that loads its model.
  *
  * A request is held only while a load is expected to end in time. Otherwise it is refused early, while the caller can
- * still come back. An entry that is about to stop holds nothing: another one may.
+ * still retry. A draining entry holds no requests, since another entry may serve them.
  */
 
 import {WeightSource, type FleetEndpoint} from 'mastvalve-fleet';
@@ -12,29 +12,29 @@
 import {forecastMarginMs, computeWaitDeadline, type NoEndpoint} from './wait-budget.js';
 import {computeRetryAfterMs, waitForCapacity} from './wait-for-capacity.js';
 
-/** Control's plan for a new want is here in this part of the objective; a refusal is early within a quarter of it. */
+/** Share of the objective before the first decision: by then control's plan for new demand has arrived, and a refusal within a quarter of the objective is still early. */
 const decisionShare = 0.2;
 
-/** Held requests are decided on again this often, ms: a load may have failed, or its leader may be gone. */
+/** Interval between decisions on a held request, ms: its load may have failed, or the leader may be gone. */
 const recheckIntervalMs = 250;
-/** A load that is overdue by this is not counted on any more, ms; most end within 0.3 s of the time expected. */
+/** A load that is overdue by more than this is ignored, ms; most end within 0.3 s of the expected time. */
 const maxOverdueMs = 1000;
 
-/** A load that is not under way may have to wait for other orders first; it ends after up to this many times its own time. */
+/** Upper bounds of the time until a load that has not begun ends, as multiples of its own time: other orders may come first. */
 const loadTimeFactors: Record<WeightSource, number> = {[WeightSource.Memory]: 3, [WeightSource.Disk]: 2, [WeightSource.Store]: 1.3};
 
-/** Pause of a caller whose request no endpoint can take, ms. */
+/** Retry-After when no endpoint can serve the request, ms. */
 const defaultRetryAfterMs = 100;
-/** Pause of a caller whose model is not expected; it may not be longer than a third of the time that is left, ms. */
+/** Retry-After when no load of the model is expected, ms; at most a third of the remaining time. */
 const unknownModelRetryAfterMs = 1200;
 
-/** Whether a load that is under way ends before the caller gives up; undefined when there is no load. */
+/** Whether a load in progress is expected to end before the caller gives up; undefined when there is none. */
 const isLoadExpectedInTime = (core: GatewayCore, request: CallerRequest, model: string): boolean | undefined => {
 	const at = core.view.expectModel(request.service, model);
 	return at === undefined ? undefined : at + forecastMarginMs < computeWaitDeadline(request) && core.clock.now() < at + maxOverdueMs;
 };
 
-/** The nearest copy of a model's weights that an endpoint has. */
+/** Finds the fastest source of a model's weights among the endpoints of a service. */
 const findNearestSource = (core: GatewayCore, service: string, model: string): WeightSource => {
 	const endpoints = core.view.listEndpoints(service);
 	if (endpoints.some(({inMemory}) => inMemory.includes(model))) {
@@ -44,7 +44,7 @@
 	return endpoints.some(({onDisk}) => onDisk.includes(model)) ? WeightSource.Disk : WeightSource.Store;
 };
 
-/** Whether even a load that is planned a little later ends before the caller gives up. */
+/** Whether a load that has not begun would end before the caller gives up. */
 const hasTimeForLoad = (core: GatewayCore, request: CallerRequest, model: string): boolean => {
 	const service = core.view.configuration?.services.find(({name}) => name === request.service);
 	const known = service?.engine?.models.find(({name}) => name === model);
@@ -57,10 +57,10 @@
 	return core.clock.now() + (loadMs[source] * loadTimeFactors[source]) < computeWaitDeadline(request);
 };
 
-/** A change of models takes this many times as long as a load from disk: what gives way is unloaded first. */
+/** Time of a model swap as a multiple of a load from disk: the evicted model is unloaded first. */
 const swapTimeFactor = 1.5;
 
-/** Whether the objective of a request leaves time for a load from an engine's disk. */
+/** Whether the objective of a request leaves time for a model swap from an engine's disk. */
 export const hasTimeForSwap = (core: GatewayCore, {service, route}: CallerRequest, model: string): boolean => {
 	const spec = core.view.configuration?.services.find(({name}) => name === service)?.engine;
 	const diskLoadMs = spec?.models.find(({name}) => name === model)?.diskLoadMs ?? 0;
@@ -74,23 +74,23 @@
 	return {reason: `no endpoint holds ${model} in time`, retryAfterMs: Math.max(50, Math.min(expectedMs, third))};
 };
 
-/** What a request has tried, and how many endpoints were handed it. */
+/** Earlier attempts, and how many of them may have reached an endpoint. */
 export type WaitingAttempts = PriorAttempts & {sentCount: number};
 
-/** An endpoint, or why there is none. A request that was handed to nobody yet may wait, also when endpoints were out of reach. */
-export const waitForEndpoint = async (core: GatewayCore, request: CallerRequest, tries: WaitingAttempts): Promise<FleetEndpoint | NoEndpoint> => {
-	const immediate = selectEndpoint(core, request, tries);
-	const {tried, sentCount: sent} = tries;
+/** Returns an endpoint or the refusal. Only a request that has reached no endpoint waits for a load; unreachable endpoints don't count. */
+export const waitForEndpoint = async (core: GatewayCore, request: CallerRequest, attempts: WaitingAttempts): Promise<FleetEndpoint | NoEndpoint> => {
+	const immediate = selectEndpoint(core, request, attempts);
+	const {tried, sentCount} = attempts;
 	const {model, adapter} = request.caller;
 	if (immediate) {
 		return immediate;
 	}
 
-	if (listCapacityForecasts(core, request, tries).length > 0) {
-		return waitForCapacity(core, request, tries);
+	if (listCapacityForecasts(core, request, attempts).length > 0) {
+		return waitForCapacity(core, request, attempts);
 	}
 
-	if (model === undefined || sent > 0 || core.isDraining()) {
+	if (model === undefined || sentCount > 0 || core.isDraining()) {
 		return {reason: 'no endpoint can take it', retryAfterMs: computeRetryAfterMs(core, request) ?? defaultRetryAfterMs};
 	}
 
@@ -115,9 +115,9 @@
 		};
 
 		const decide = (): void => {
-			// The model may be here, and only its adapter on its way; that takes ms, or the end of a load.
-			const isModelHere = core.view.listEndpoints(request.service).some(({id, holds}) => !tried.has(id) && holds.some(({name}) => name === model));
-			if (!isModelHere && isLoadExpectedInTime(core, request, model) !== true && !hasTimeForLoad(core, request, model)) {
+			// The model may be loaded and only its adapter missing, which takes milliseconds, or until a load in progress ends.
+			const isModelLoaded = core.view.listEndpoints(request.service).some(({id, holds}) => !tried.has(id) && holds.some(({name}) => name === model));
+			if (!isModelLoaded && isLoadExpectedInTime(core, request, model) !== true && !hasTimeForLoad(core, request, model)) {
 				stopWaiting();
 				return;
 			}
@@ -139,7 +139,7 @@
 				return;
 			}
 
-			const endpoint = selectEndpoint(core, request, tries);
+			const endpoint = selectEndpoint(core, request, attempts);
 			if (endpoint) {
 				settle(endpoint);
 			}
--- a/packages/mastvalve-gateway/src/server/gateway-node.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-node.ts
@@ -89,7 +89,7 @@
 			now,
 			onEvent,
 			onLeader() {
-				limits.noteLeader();
+				limits.informNewLeader();
 			},
 		});
 		this.reporter = new DemandReporter(client, () => this.follower.leader);
--- a/packages/mastvalve-gateway/src/server/gateway.ts
+++ b/packages/mastvalve-gateway/src/server/gateway.ts
@@ -208,7 +208,7 @@
 	/** A request that was let in has not run, so its workspace may ask for as much again. */
 	private giveBack({workspace, cost}: Admission): void {
 		if (workspace && cost > 0) {
-			this.core.limits.giveBack(workspace.name, cost);
+			this.core.limits.refundCost(workspace.name, cost);
 		}
 	}
 
