--- a/packages/mastvalve-fleet/__tests__/fleet.feature
+++ b/packages/mastvalve-fleet/__tests__/fleet.feature
@@ -5,14 +5,14 @@
     When a configuration of version 4 and another one of version 5 are applied
     Then the first one of version 5 is held
 
-  Scenario: An endpoint that leaves is not brought back by a late heartbeat
+  Scenario: A late heartbeat does not revert an endpoint that is leaving
     Given a fleet with a ready endpoint
-    When it says that it leaves and an older heartbeat arrives after that
-    Then it is leaving, and a newer heartbeat does not change that
+    When it reports that it is leaving and an older heartbeat arrives later
+    Then it is leaving, and a newer heartbeat does not revert that
 
-  Scenario: An endpoint that has ended is not brought back at all
+  Scenario: No heartbeat reverts an endpoint that has ended
     Given a fleet with a ready endpoint
-    When it ends and a newer heartbeat arrives after that
+    When it ends and a newer heartbeat arrives later
     Then it is gone
 
   Scenario: A new identity at an address ends the former one
@@ -23,29 +23,29 @@
   Scenario: A heartbeat of an earlier identity that arrives after the next one has registered changes nothing
     Given a fleet with a ready endpoint
     When another endpoint reports from the same address
-    And a newer heartbeat of the former one arrives after that
+    And a newer heartbeat of the former one arrives later
     Then the former one is gone and the new one is ready
 
-  Scenario: Heartbeats don't undo what orders changed
+  Scenario: Heartbeats don't revert changes by orders
     Given a fleet with a ready endpoint
     When an adapter is recorded and a heartbeat without adapters arrives
-    Then the adapter is still known
+    Then the adapter is still recorded
 
-  Scenario: Followers that get changes have the same state as those that get everything
-    Then 200 random series of commands give followers that ask at any time the state itself
+  Scenario: Followers that read changes have the same state as the machine
+    Then 200 random series of commands give followers that poll at any time the state of the machine
 
   Scenario: Snapshots hold the whole state
     Then 100 random series of commands give the same state through a snapshot
 
-  Scenario: Readers of a feed of changes get them in parts and end with the newest ones
-    Then 300 random series of changes give readers that read at any time exactly what is there, in parts of bounded size
+  Scenario: Readers of a change feed get pages and end with the newest changes
+    Then 300 random series of changes give readers that read at any time exactly the kept changes, in pages of bounded size
 
-  Scenario: A reader that is in the middle of a feed is sent back to the start only by what it may hold of the forgotten
-    Given a feed of 10 changes in parts of 2
-    When a reader has read 2 parts and a key that it has not read is forgotten
-    Then it goes on with the third part
+  Scenario: A reader in the middle of a feed starts over only if it may hold forgotten keys
+    Given a feed of 10 changes in pages of 2
+    When a reader has read 2 pages and a key that it has not read is forgotten
+    Then it continues with the third page
     When a key that it has read is changed and forgotten
-    Then it begins anew
+    Then it starts over
 
-  Scenario: A request takes the route with the longest prefix, whatever the number of routes
-    Then 300 random sets of routes are matched as by a pass over all of them
+  Scenario: A request matches the route with the longest prefix for any number of routes
+    Then 300 random sets of routes give the same matches as a linear search
--- a/packages/mastvalve-fleet/__tests__/fleet.steps.ts
+++ b/packages/mastvalve-fleet/__tests__/fleet.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of the fleet's state.
+ * Steps of the fleet state machine.
  */
 
 import {strict as assert} from 'node:assert';
@@ -23,11 +23,34 @@
 });
 
 const createRoute = (path: string, timeoutMs: number): Route => ({
-	name: path, host: 'h', pathPrefix: `/${path}/`, kind: RouteKind.Safe, timeoutMs, objectiveMs: 1, patienceMs: undefined, priority: 1, targets: [], maxAttempts: 1, isResumable: false, isAnonymous: false,
+	name: path,
+	host: 'h',
+	pathPrefix: `/${path}/`,
+	kind: RouteKind.Safe,
+	timeoutMs,
+	objectiveMs: 1,
+	patienceMs: undefined,
+	priority: 1,
+	targets: [],
+	maxAttempts: 1,
+	isResumable: false,
+	isAnonymous: false,
 });
 
 const report = (id: string, sequence: number, more: Partial<EndpointReport> = {}): EndpointReport => ({
-	id, sequence, service: 's', address: `${id}:1`, failureDomain: 'a', release: 'v1', slots: 1, isLeaving: false, remainingMs: undefined, holds: [{name: 'm', adapters: []}], inMemory: [], onDisk: [], ...more,
+	id,
+	sequence,
+	service: 's',
+	address: `${id}:1`,
+	failureDomain: 'a',
+	release: 'v1',
+	slots: 1,
+	isLeaving: false,
+	remainingMs: undefined,
+	holds: [{name: 'm', adapters: []}],
+	inMemory: [],
+	onDisk: [],
+	...more,
 });
 
 const apply = (world: FleetWorld, command: FleetCommand): void => {
@@ -61,18 +84,18 @@
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 3)});
 });
 
-When('it says that it leaves and an older heartbeat arrives after that', function (this: FleetWorld) {
+When('it reports that it is leaving and an older heartbeat arrives later', function (this: FleetWorld) {
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 5, {isLeaving: true})});
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 4)});
 });
 
-Then('it is leaving, and a newer heartbeat does not change that', function (this: FleetWorld) {
+Then('it is leaving, and a newer heartbeat does not revert that', function (this: FleetWorld) {
 	assert.equal(this.machine.find('e')?.phase, EndpointPhase.Leaving);
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 6)});
 	assert.equal(this.machine.find('e')?.phase, EndpointPhase.Leaving);
 });
 
-When('it ends and a newer heartbeat arrives after that', function (this: FleetWorld) {
+When('it ends and a newer heartbeat arrives later', function (this: FleetWorld) {
 	apply(this, {kind: FleetCommandKind.Leave, id: 'e'});
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 9)});
 });
@@ -85,7 +108,7 @@
 	apply(this, {kind: FleetCommandKind.Report, report: report('f', 1, {address: 'e:1'})});
 });
 
-When('a newer heartbeat of the former one arrives after that', function (this: FleetWorld) {
+When('a newer heartbeat of the former one arrives later', function (this: FleetWorld) {
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 9, {address: 'e:1'})});
 });
 
@@ -103,7 +126,7 @@
 	apply(this, {kind: FleetCommandKind.Report, report: report('e', 4)});
 });
 
-Then('the adapter is still known', function (this: FleetWorld) {
+Then('the adapter is still recorded', function (this: FleetWorld) {
 	assert.deepEqual(this.machine.find('e')?.holds, [{name: 'm', adapters: ['a1']}]);
 });
 
@@ -124,7 +147,7 @@
 	fc.constantFrom('f', 'g').map((fingerprint): FleetCommand => ({kind: FleetCommandKind.ReleaseQuarantine, fingerprints: [fingerprint]})),
 ), {minLength: 1, maxLength: 40});
 
-/** Plain data as a snapshot is stored. */
+/** Converts data as storage of a snapshot does. */
 const throughJson = (value: unknown): unknown => {
 	const text = JSON.stringify(value);
 	return JSON.parse(text);
@@ -132,7 +155,7 @@
 
 const sortBy = <T>(items: readonly T[], keyOf: (item: T) => string): T[] => items.toSorted((a, b) => (keyOf(a) < keyOf(b) ? -1 : 1));
 
-/** Endpoints that have not ended; those that have are forgotten some time, by followers at once. */
+/** Returns endpoints that have not ended; ended ones are forgotten eventually by the machine and at once by followers. */
 const listLiving = (endpoints: readonly FleetEndpoint[]): FleetEndpoint[] => sortBy(endpoints.filter(({phase}) => phase !== EndpointPhase.Gone), ({id}) => id);
 
 const describeState = (machine: FleetMachine) => ({
@@ -142,16 +165,16 @@
 	quarantined: machine.listQuarantined().toSorted(),
 });
 
-/** A follower that asks after each command with a chance of one half, and at last until nothing follows. */
+/** A follower that polls after the commands that `asks` selects, and finally until no change follows. */
 const follow = (series: readonly FleetCommand[], asks: readonly boolean[]) => {
 	const machine = new FleetMachine();
 	const held = new Map<string, FleetEndpoint>();
 	const routes = new Map<string, Route>();
 	const quarantined = new Set<string>();
-	let place: FleetCursor = {};
+	let cursor: FleetCursor = {};
 	let version: number | undefined;
 	const ask = (): void => {
-		const {endpoints, configuration, quarantine} = machine.changesSince(place);
+		const {endpoints, configuration, quarantine} = machine.changesSince(cursor);
 		if (endpoints.isWhole) {
 			held.clear();
 		}
@@ -185,7 +208,7 @@
 				quarantined.delete(fingerprint);
 			}
 		});
-		place = {endpoints: endpoints.cursor, configuration: configuration.cursor, quarantine: quarantine.cursor};
+		cursor = {endpoints: endpoints.cursor, configuration: configuration.cursor, quarantine: quarantine.cursor};
 	};
 
 	series.forEach((command, index) => {
@@ -194,7 +217,7 @@
 			ask();
 		}
 	});
-	while (machine.hasChangesSince(place)) {
+	while (machine.hasChangesSince(cursor)) {
 		ask();
 	}
 
@@ -205,7 +228,7 @@
 	};
 };
 
-Then('200 random series of commands give followers that ask at any time the state itself', () => {
+Then('200 random series of commands give followers that poll at any time the state of the machine', () => {
 	fc.assert(fc.property(commands, fc.array(fc.boolean(), {minLength: 1, maxLength: 7}), (series, asks) => {
 		const {machine, followed} = follow(series, asks);
 		assert.deepEqual(followed, describeState(machine));
@@ -229,7 +252,7 @@
 	}), {numRuns: 100, seed: 4});
 });
 
-/** A feed whose parts hold two changes. */
+/** A feed whose pages hold two changes. */
 const createPairFeed = (): ChangeFeed<string> => new ChangeFeed<string>(() => maxPageBytes / 2);
 
 type FeedStep = {key: string; isForgotten: boolean; isSameRevision: boolean; reader: number};
@@ -238,40 +261,40 @@
 	key: fc.constantFrom('a', 'b', 'c', 'd', 'e', 'f', 'g'), isForgotten: fc.constantFrom(false, false, true), isSameRevision: fc.boolean(), reader: fc.integer({min: 0, max: 5}),
 }), {minLength: 1, maxLength: 60});
 
-/** What a reader has: a change names its key and revision. */
+/** A reader's state; a change is `key revision`. */
 class Reader {
 	readonly held = new Map<string, string>();
 	private cursor: FeedCursor | undefined;
 
-	/** Reads one part; whether nothing follows. */
+	/** Reads one page; returns whether no change follows. */
 	read(feed: ChangeFeed<string>): boolean {
-		const part = feed.readAfter(this.cursor);
-		assert.ok(part.changes.length <= 2);
-		if (part.isWhole) {
+		const page = feed.readAfter(this.cursor);
+		assert.ok(page.changes.length <= 2);
+		if (page.isWhole) {
 			this.held.clear();
 		}
 
-		part.changes.forEach(change => {
+		page.changes.forEach(change => {
 			this.held.set(change.split(' ', 1)[0]!, change);
 		});
-		this.cursor = part.cursor;
-		return part.isLast;
+		this.cursor = page.cursor;
+		return page.isLast;
 	}
 }
 
-Then('{int} random series of changes give readers that read at any time exactly what is there, in parts of bounded size', (runs: number) => {
+Then('{int} random series of changes give readers that read at any time exactly the kept changes, in pages of bounded size', (runs: number) => {
 	fc.assert(fc.property(feedSteps, series => {
 		const feed = createPairFeed();
 		const readers = [new Reader(), new Reader()];
 		let revision = 0;
 		series.forEach(({key, isForgotten, isSameRevision, reader}) => {
-			// All changes of a revision are made at once: nobody reads in between.
+			// All changes of a revision are recorded before the next read.
 			if (!isSameRevision) {
 				readers[reader]?.read(feed);
 				revision += 1;
 			}
 
-			// What is forgotten has ended before, which is a change of its own.
+			// A key is forgotten only after the change that records its end.
 			feed.put(key, `${key} ${revision}`, revision);
 			if (isForgotten) {
 				feed.forget(key);
@@ -279,12 +302,12 @@
 		});
 		readers.forEach(reader => {
 			while (!reader.read(feed)) {
-				// Reads on to the end.
+				// Reads until no change follows.
 			}
 
 			const there = feed.list().map(({change}) => change);
 			assert.deepEqual([...reader.held.values()].filter(change => there.includes(change)).toSorted(), there.toSorted());
-			// What else it holds has ended, and it was told so.
+			// Any other key that it holds has ended, and the reader has received that change.
 			const newest = new Map(series.map(({key}) => [key, key]));
 			assert.ok([...reader.held.keys()].every(key => newest.has(key)));
 		});
@@ -293,26 +316,26 @@
 
 type FeedWorld = World & {feed: ChangeFeed<string>; reader: Reader; cursor: FeedCursor | undefined};
 
-const readPart = (world: FeedWorld) => {
-	const part = world.feed.readAfter(world.cursor);
-	world.cursor = part.cursor;
-	return part;
+const readPage = (world: FeedWorld) => {
+	const page = world.feed.readAfter(world.cursor);
+	world.cursor = page.cursor;
+	return page;
 };
 
-Given('a feed of {int} changes in parts of 2', function (this: FeedWorld, count: number) {
+Given('a feed of {int} changes in pages of 2', function (this: FeedWorld, count: number) {
 	this.feed = createPairFeed();
 	Array.from({length: count}).forEach((_, index) => {
 		this.feed.put(`k${index}`, `k${index}`, index + 1);
 	});
 });
 
-When('a reader has read 2 parts and a key that it has not read is forgotten', function (this: FeedWorld) {
-	assert.deepEqual([readPart(this).changes, readPart(this).changes], [['k0', 'k1'], ['k2', 'k3']]);
+When('a reader has read 2 pages and a key that it has not read is forgotten', function (this: FeedWorld) {
+	assert.deepEqual([readPage(this).changes, readPage(this).changes], [['k0', 'k1'], ['k2', 'k3']]);
 	this.feed.forget('k8');
 });
 
-Then('it goes on with the third part', function (this: FeedWorld) {
-	const {isWhole, changes} = readPart(this);
+Then('it continues with the third page', function (this: FeedWorld) {
+	const {isWhole, changes} = readPage(this);
 	assert.deepEqual([isWhole, changes], [false, ['k4', 'k5']]);
 });
 
@@ -321,19 +344,19 @@
 	this.feed.forget('k1');
 });
 
-Then('it begins anew', function (this: FeedWorld) {
-	const {isWhole, changes} = readPart(this);
+Then('it starts over', function (this: FeedWorld) {
+	const {isWhole, changes} = readPage(this);
 	assert.deepEqual([isWhole, changes], [true, ['k0', 'k2']]);
 });
 
 const prefixes = fc.array(fc.constantFrom('a', 'b', 'ab'), {maxLength: 3}).map(parts => `/${parts.map(part => `${part}/`).join('')}`);
 
-Then('{int} random sets of routes are matched as by a pass over all of them', (runs: number) => {
+Then('{int} random sets of routes give the same matches as a linear search', (runs: number) => {
 	const hosts = fc.constantFrom('h', 'i');
 	const sets = fc.uniqueArray(fc.record({host: hosts, pathPrefix: prefixes}), {selector: keyOfRoute, maxLength: 12});
 	const paths = fc.record({host: hosts, path: fc.tuple(prefixes, fc.constantFrom('', 'a', 'x')).map(parts => parts.join(''))});
 	fc.assert(fc.property(sets, fc.array(paths, {minLength: 1, maxLength: 10}), (set, asked) => {
-		const routes = set.map(place => ({...createRoute('r', 1), ...place}));
+		const routes = set.map(key => ({...createRoute('r', 1), ...key}));
 		const table = new RouteTable(routes);
 		asked.forEach(({host, path}) => {
 			const longest = routes.filter(route => route.host === host && path.startsWith(route.pathPrefix)).toSorted((a, b) => b.pathPrefix.length - a.pathPrefix.length)[0];
--- a/packages/mastvalve-fleet/__tests__/placement.steps.ts
+++ b/packages/mastvalve-fleet/__tests__/placement.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of placement.
+ * Steps of model placement.
  */
 
 import {strict as assert} from 'node:assert';
@@ -11,7 +11,7 @@
 	forecastRates, DemandShiftDetector, fitsInMemory, ModelDemandEstimate, planModelMove, WeightSource, type EngineSpec, type EngineState, type ModelPlanInput,
 } from '../src/index.js';
 
-type PlacementWorld = World & {held: string[]; plan: ModelPlanInput; demandStep: DemandShiftDetector; estimate: ModelDemandEstimate};
+type PlacementWorld = World & {held: string[]; plan: ModelPlanInput; shiftDetector: DemandShiftDetector; estimate: ModelDemandEstimate};
 
 const spec: EngineSpec = {
 	slots: 64, tokenCapacity: 1000, weightCapacity: 300, adapterSlots: 4, storeLoadsPerSecond: 1,
@@ -21,7 +21,17 @@
 };
 
 const engine = (id: string, models: readonly string[], more: Partial<EngineState> = {}): EngineState => ({
-	id, failureDomain: 'a', isReady: true, hasUnresolvedOrder: false, holds: models.map(name => ({name, adapters: []})), loading: undefined, retiring: undefined, loadingAdapters: [], inMemory: [], onDisk: [], ...more,
+	id,
+	failureDomain: 'a',
+	isReady: true,
+	hasUnresolvedOrder: false,
+	holds: models.map(name => ({name, adapters: []})),
+	loading: undefined,
+	retiring: undefined,
+	loadingAdapters: [],
+	inMemory: [],
+	onDisk: [],
+	...more,
 });
 
 const planInput = (engines: readonly EngineState[], rates: Record<string, number>, wanted: readonly string[] = []): ModelPlanInput => ({
@@ -38,11 +48,11 @@
 	availableStoreLoads: 5,
 });
 
-Given('2 engines with one free place each, and weights of no model on their disks', function (this: PlacementWorld) {
+Given('2 engines with free memory for one model each and no weights on their disks', function (this: PlacementWorld) {
 	this.plan = planInput([engine('1', ['a', 'b']), engine('2', ['a', 'b'])], {});
 });
 
-When('a rare model and a busy one are waited for', function (this: PlacementWorld) {
+When('requests for a rare model and for a busy one are queued', function (this: PlacementWorld) {
 	this.plan = planInput(this.plan.engines, {c: 0.2, d: 8}, ['c', 'd']);
 });
 
@@ -54,19 +64,19 @@
 	this.plan = planInput([engine('1', ['a', 'b'], {loading: 'e', onDisk: ['c']}), engine('2', ['a', 'b'])], {});
 });
 
-When('the rare model is waited for', function (this: PlacementWorld) {
+When('requests for the rare model are queued', function (this: PlacementWorld) {
 	this.plan = planInput(this.plan.engines, {c: 0.2}, ['c']);
 });
 
-Then('nothing is moved', function (this: PlacementWorld) {
+Then('no move is planned', function (this: PlacementWorld) {
 	assert.equal(planModelMove(this.plan), undefined);
 });
 
-Given('an idle engine without weights of {string}, and one with them on its disk whose model gets {float} requests a second', function (this: PlacementWorld, _model: string, rate: number) {
+Given('an idle engine without weights of {string}, and one with them on its disk whose model receives {float} requests per second', function (this: PlacementWorld, _model: string, rate: number) {
 	this.plan = planInput([engine('1', ['a', 'c', 'd']), engine('2', ['b', 'c', 'd'], {onDisk: ['e']}), engine('3', ['b', 'c', 'd'])], {b: rate});
 });
 
-When('{string} is waited for, with {float} requests a second', function (this: PlacementWorld, model: string, rate: number) {
+When('a request for {string} is queued, with {float} requests per second', function (this: PlacementWorld, model: string, rate: number) {
 	this.plan = planInput(this.plan.engines, {b: this.plan.rateOf('b'), c: this.plan.rateOf('c'), [model]: rate}, [model]);
 });
 
@@ -74,45 +84,45 @@
 	assert.equal(planModelMove(this.plan)?.source, WeightSource.Disk);
 });
 
-Given('2 engines with a place for one more model, of which one holds {string} and takes {float} requests a second', function (this: PlacementWorld, model: string, limitPerSecond: number) {
+Given('2 engines with free memory for one more model, of which one holds {string} and accepts {float} requests per second', function (this: PlacementWorld, model: string, limitPerSecond: number) {
 	this.plan = planInput([engine('1', [model, 'b'], {limitPerSecond}), engine('2', ['c', 'd'])], {});
 });
 
-When('{string} is asked for, with {float} requests a second', function (this: PlacementWorld, model: string, rate: number) {
+When('demand for {string} is {float} requests per second', function (this: PlacementWorld, model: string, rate: number) {
 	this.plan = planInput(this.plan.engines, {[model]: rate});
 });
 
-Then('{string} is loaded at the other engine', function (this: PlacementWorld, model: string) {
+Then('{string} is loaded on the other engine', function (this: PlacementWorld, model: string) {
 	const move = planModelMove(this.plan);
 	assert.deepEqual([move?.load, move?.engine], [model, '2']);
 });
 
-Given('2 full engines that hold different models, all asked for', function (this: PlacementWorld) {
+Given('2 full engines that hold different models, all requested', function (this: PlacementWorld) {
 	this.plan = planInput([engine('1', ['a', 'b', 'c']), engine('2', ['d', 'e', 'f'])], {
 		a: 3.5, b: 3, c: 3, d: 3, e: 3, f: 3,
 	});
 });
 
-Then('a model with more demand gets no second engine in their place', function (this: PlacementWorld) {
+Then('a model with more demand evicts none of them for a second engine', function (this: PlacementWorld) {
 	assert.equal(planModelMove(this.plan), undefined);
 });
 
-/** Requests a second by model, in the order of the list. */
+/** Requests per second of each model, in list order. */
 const ratesOf = (text: string): number[] => text.split(' ').map(Number);
 
-/** Two engines with copies of all models, and the demand for them; `patient` are asked for only by callers with time. */
-const planDemand = (held: readonly string[], text: string, patient: string): ModelPlanInput => {
+/** Plan input of engines with all weights on disk; the models in `tolerant` are requested only by latency-tolerant callers. */
+const planDemand = (held: readonly string[], text: string, tolerant: string): ModelPlanInput => {
 	const rates = Object.fromEntries(ratesOf(text).map((rate, rank) => [names[rank] ?? '', rate]));
 	const rateOf = (model: string): number => rates[model] ?? 0;
-	const isPatient = (model: string): boolean => patient.includes(model);
+	const isLatencyTolerant = (model: string): boolean => tolerant.includes(model);
 	const expected = forecastRates({
-		models: names, rateOf, urgentRateOf: model => (isPatient(model) ? 0 : rateOf(model)), isLatencyTolerant: isPatient, shift: undefined,
+		models: names, rateOf, urgentRateOf: model => (isLatencyTolerant(model) ? 0 : rateOf(model)), isLatencyTolerant, shift: undefined,
 	});
 	const input = planInput(held.map((models, index) => engine(String(index), [...models], {onDisk: [...names]})), rates);
 	return {
 		...input,
 		expectedRateOf: model => expected.get(model) ?? 0,
-		urgentIdleMsOf: model => (isPatient(model) ? 60_000 : input.idleMsOf(model)),
+		urgentIdleMsOf: model => (isLatencyTolerant(model) ? 60_000 : input.idleMsOf(model)),
 	};
 };
 
@@ -120,15 +130,15 @@
 	this.held = [first, second];
 });
 
-When('the models are asked for at {string} requests a second', function (this: PlacementWorld, text: string) {
+When('the models are requested at {string} requests per second', function (this: PlacementWorld, text: string) {
 	this.plan = planDemand(this.held, text, '');
 });
 
-When('the models are asked for at {string} requests a second, {string} only by callers with time', function (this: PlacementWorld, text: string, patient: string) {
-	this.plan = planDemand(this.held, text, patient);
+When('the models are requested at {string} requests per second, {string} only by latency-tolerant callers', function (this: PlacementWorld, text: string, tolerant: string) {
+	this.plan = planDemand(this.held, text, tolerant);
 });
 
-Then('{string} is expected to be asked for at {float} requests a second', function (this: PlacementWorld, model: string, rate: number) {
+Then('{string} has a forecast rate of {float} requests per second', function (this: PlacementWorld, model: string, rate: number) {
 	assert.equal(this.plan.expectedRateOf(model), rate);
 });
 
@@ -136,68 +146,68 @@
 	assert.equal(planModelMove(this.plan)?.load, model);
 });
 
-Then('{string} gives way', function (this: PlacementWorld, model: string) {
+Then('{string} is evicted', function (this: PlacementWorld, model: string) {
 	assert.equal(planModelMove(this.plan)?.evict, model);
 });
 
-When('the model {string} is waited for', function (this: PlacementWorld, model: string) {
+When('a request for the model {string} is queued', function (this: PlacementWorld, model: string) {
 	this.plan = {...this.plan, pending: [{model, waiting: 1}]};
 });
 
-Then('{string} does not give way', function (this: PlacementWorld, model: string) {
+Then('a move is planned that does not evict {string}', function (this: PlacementWorld, model: string) {
 	const move = planModelMove(this.plan);
 	assert.ok(move);
 	assert.notEqual(move.evict, model);
 });
 
-Given('demand that was seen at {string} requests a second, then at {string}', function (this: PlacementWorld, first: string, second: string) {
-	this.demandStep = new DemandShiftDetector();
+Given('observed demand of {string} requests per second, then of {string}', function (this: PlacementWorld, first: string, second: string) {
+	this.shiftDetector = new DemandShiftDetector();
 	[first, second].forEach((text, index) => {
 		[0, 500, 1000].forEach(later => {
-			this.demandStep.observe(ratesOf(text), (index * 5000) + later);
+			this.shiftDetector.observe(ratesOf(text), (index * 5000) + later);
 		});
 	});
 });
 
-When('demand is {string} requests a second for {int} ms', function (this: PlacementWorld, text: string, forMs: number) {
-	this.demandStep.observe(ratesOf(text), 20_000);
-	this.demandStep.observe(ratesOf(text), 20_000 + forMs);
-	this.demandStep.observe(ratesOf('0 0 0 20 8 6'), 20_000 + forMs + 100);
+When('demand is {string} requests per second for {int} ms', function (this: PlacementWorld, text: string, forMs: number) {
+	this.shiftDetector.observe(ratesOf(text), 20_000);
+	this.shiftDetector.observe(ratesOf(text), 20_000 + forMs);
+	this.shiftDetector.observe(ratesOf('0 0 0 20 8 6'), 20_000 + forMs + 100);
 });
 
-Then('the step is {int}', function (this: PlacementWorld, step: number) {
-	assert.equal(this.demandStep.shift, step);
+Then('the shift is {int}', function (this: PlacementWorld, shift: number) {
+	assert.equal(this.shiftDetector.shift, shift);
 });
 
-Then('no step was seen', function (this: PlacementWorld) {
-	assert.equal(this.demandStep.shift, undefined);
+Then('no shift is detected', function (this: PlacementWorld) {
+	assert.equal(this.shiftDetector.shift, undefined);
 });
 
-Then('at {string} requests a second the busiest of the other models is expected to be {string}', function (this: PlacementWorld, text: string, model: string) {
+Then('at {string} requests per second the highest forecast rate of the other models is that of {string}', function (this: PlacementWorld, text: string, model: string) {
 	const rates = ratesOf(text);
 	const rateOf = (name: string): number => rates[names.indexOf(name)] ?? 0;
 	const expected = forecastRates({
-		models: names, rateOf, urgentRateOf: rateOf, isLatencyTolerant: () => false, shift: this.demandStep.shift,
+		models: names, rateOf, urgentRateOf: rateOf, isLatencyTolerant: () => false, shift: this.shiftDetector.shift,
 	});
 	const busiest = names[rates.indexOf(Math.max(...rates))];
 	const [next] = [...expected].filter(([name]) => name !== busiest).toSorted(([, a], [, b]) => b - a);
 	assert.equal(next?.[0], model);
 });
 
-Given('an estimate that expects {int} requests a second for {string}', function (this: PlacementWorld, rate: number, model: string) {
+Given('an estimate that expects {int} requests per second for {string}', function (this: PlacementWorld, rate: number, model: string) {
 	this.estimate = new ModelDemandEstimate();
 	this.estimate.setExpectedRates([[model, rate]]);
 });
 
-When('the first requests come, for {string}', function (this: PlacementWorld, model: string) {
+When('the first request arrives, for {string}', function (this: PlacementWorld, model: string) {
 	this.estimate.record(model, 1, 0);
 });
 
-Then('{string} counts for more than {int} requests a second {int} ms later', function (this: PlacementWorld, model: string, rate: number, laterMs: number) {
+Then('{string} has an estimate above {int} requests per second {int} ms later', function (this: PlacementWorld, model: string, rate: number, laterMs: number) {
 	assert.ok(this.estimate.rateOf(model, laterMs) > rate);
 });
 
-Then('{string} counts for less than {int} request a second {int} ms later', function (this: PlacementWorld, model: string, rate: number, laterMs: number) {
+Then('{string} has an estimate below {int} request per second {int} ms later', function (this: PlacementWorld, model: string, rate: number, laterMs: number) {
 	assert.ok(this.estimate.rateOf(model, laterMs) < rate);
 });
 
@@ -229,12 +239,12 @@
 
 const copies = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-Given('{int} engines, one of which holds {string}, that begin an answer in {int} ms', function (this: SpeedWorld, count: number, model: string, headMs: number) {
+Given('{int} engines, one of which holds {string}, with a time to first byte of {int} ms', function (this: SpeedWorld, count: number, model: string, firstByteMs: number) {
 	const engines = Array.from({length: count}, (_, index) => engine(`${index}`, index === 0 ? [model] : [], {onDisk: copies}));
-	this.plan = {...planInput(engines, {}), timeToFirstByteMsOf: () => headMs};
+	this.plan = {...planInput(engines, {}), timeToFirstByteMsOf: () => firstByteMs};
 });
 
-When('{string} is asked for at {float} requests a second', function (this: SpeedWorld, model: string, rate: number) {
+When('{string} is requested at {float} requests per second', function (this: SpeedWorld, model: string, rate: number) {
 	this.plan = {...planInput(this.plan.engines, {[model]: rate}), timeToFirstByteMsOf: this.plan.timeToFirstByteMsOf};
 });
 
@@ -258,24 +268,24 @@
 	assert.ok([first, second].includes(move.load));
 });
 
-Given('a busy engine with {string}, one that is used much and one that is used little', function (this: SpeedWorld, model: string) {
+Given('a busy engine with {string}, one with high and one with low utilization', function (this: SpeedWorld, model: string) {
 	this.plan = planInput([engine('0', [model], {onDisk: copies}), engine('1', ['b'], {onDisk: copies}), engine('2', ['c'], {onDisk: copies})], {[model]: 8, b: 3.5, c: 0.5});
 });
 
-Then('the one that is used little loads {string}', function (this: SpeedWorld, model: string) {
+Then('the one with low utilization loads {string}', function (this: SpeedWorld, model: string) {
 	assert.deepEqual(planModelMove(this.plan), {
 		engine: '2', load: model, evict: undefined, source: WeightSource.Disk,
 	});
 });
 
-Given('an engine that holds a busy {string}, and another one on which a load of {string} is under way', function (this: SpeedWorld, model: string, _loading: string) {
+Given('an engine that holds a busy {string}, and another one on which a load of {string} is in flight', function (this: SpeedWorld, model: string, _loading: string) {
 	this.plan = planInput([
 		engine('0', [model, 'b', 'c'], {onDisk: copies}),
 		engine('1', ['b', 'c'], {loading: model}),
 	], {[model]: 14, b: 1, c: 1});
 });
 
-When('{string} is waited for', function (this: SpeedWorld, model: string) {
+When('requests for {string} are queued', function (this: SpeedWorld, model: string) {
 	this.plan = {...this.plan, pending: [{model, waiting: 3}]};
 });
 
