--- a/packages/mastvalve-gateway/src/routing/choose-endpoint.ts
+++ b/packages/mastvalve-gateway/src/routing/choose-endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * Which endpoint gets a request: pure, over what the entry knows at this moment.
+ * Selects the endpoint for a request. Pure functions over the entry's current observations.
  */
 
 import {EndpointPhase, type FleetEndpoint} from 'mastvalve-fleet';
@@ -7,52 +7,52 @@
 import type {EndpointObservations} from './endpoint-tracker.js';
 import {formatModel} from './model-demand.js';
 
-/** What the choice rests on. */
+/** Input of the selection. */
 export type EndpointChoiceInput = {
 	endpoints: readonly FleetEndpoint[];
 	model: string | undefined;
 	adapter: string | undefined;
 	/** Failure domain of this entry. */
 	failureDomain: string;
-	/** Endpoints that this request was sent to already. */
+	/** Endpoints to which this request was already sent. */
 	attemptedIds: ReadonlySet<string>;
-	/** When limited endpoints that had no permit for it may be asked again, by endpoint, ms. */
+	/** When a permit may be requested again from limited endpoints that had none for this request, by endpoint, ms. */
 	permitRetryAt: ReadonlyMap<string, number>;
 	now: number;
 	getObservations: (id: string) => EndpointObservations;
-	/** Whether an endpoint has named how many requests it takes. */
+	/** Whether an endpoint has announced a rate limit. */
 	isLimited: (endpoint: FleetEndpoint) => boolean;
-	/** A limited endpoint that this entry has had no answer from for about so long is asked before others, ms. */
+	/** A limited endpoint is probed before others after about this time without a response to this entry, ms. */
 	limitedProbeMs: number;
 	random: () => number;
-	/** Time in which an engine without a queue begins an answer with this model, ms. */
+	/** Time to first byte for this model at an engine without a queue, ms. */
 	firstByteMs: number;
-	/** The part of that for each prompt token, ms. */
+	/** Share of that time per prompt token, ms. */
 	prefillMsPerToken: number;
 };
 
-/** What one more running request adds to the wait of the next, as a part of the time to begin an answer: its share of a step. */
+/** Wait added by each running request, as a fraction of the time to first byte: its share of a decoding step. */
 const runningRequestShare = 0.03;
-/** Bytes between failure domains are dear: another domain must be faster by this, ms. */
+/** Traffic between failure domains is expensive: an endpoint in another domain must be faster by this, ms. */
 const crossDomainPenaltyMs = 25;
 /**
- * An endpoint that has named a limit is spared while another one is as near, ms: a permit must be claimed there, and is kept for what
- * nobody else takes in time.
+ * Penalty of endpoints with an announced limit, ms: they need a permit, and their permits are reserved for requests that no other
+ * endpoint accepts in time.
  */
 const limitedPenaltyMs = 20;
-/** Below any expected wait, ms. */
+/** Cost of an endpoint that is due for a probe, ms: below any expected wait. */
 const probeCostMs = -1;
 /**
- * An endpoint with own requests that has sent no byte for this long is doubtful, ms. Streams send several events a
- * second, and the longest reading of a prompt takes less.
+ * An endpoint with requests of this entry in flight is suspect after this time without a byte, ms. Streams send several events per
+ * second, and the longest prefill takes less.
  */
 const stallThresholdMs = 1200;
-/** What the last answers came late by means less and less; ms. */
+/** Decay time constant of the observed start delay, ms. */
 const startDelayDecayMs = 700;
-/** A told load means less and less; ms. */
+/** Decay time constant of a reported load, ms. */
 const loadDecayMs = 700;
 
-/** Whether an endpoint holds a model, with an adapter if one is asked for, and will go on holding it. */
+/** Whether an endpoint holds a model, and the adapter if one is requested, and isn't retiring the model. */
 export const holdsModel = (endpoint: FleetEndpoint, model: string | undefined, adapter: string | undefined): boolean => {
 	if (model === undefined) {
 		return true;
@@ -63,35 +63,35 @@
 };
 
 /** Expected wait at an endpoint, ms. */
-const estimateWait = (knowledge: EndpointObservations, {now, firstByteMs, prefillMsPerToken}: EndpointChoiceInput): number => {
-	const {load, loadReportedAt, inFlight, pendingPromptTokens, awaitingFirstByte, startDelayMs, startDelayAt} = knowledge;
+const estimateWait = (observations: EndpointObservations, {now, firstByteMs, prefillMsPerToken}: EndpointChoiceInput): number => {
+	const {load, loadReportedAt, inFlight, pendingPromptTokens, awaitingFirstByte, startDelayMs, startDelayAt} = observations;
 	const weight = Math.exp(-(now - loadReportedAt) / loadDecayMs);
 	const others = load ? Math.max(0, load.running + load.waiting - inFlight) * weight : 0;
-	// What others have sent and was not read yet when the load was told; the own part is known exactly.
+	// Requests of other entries without a first byte when the load was reported; those of this entry are known exactly.
 	const othersAwaitingFirstByte = load ? Math.max(0, load.waiting - awaitingFirstByte) * weight : 0;
 	const startDelay = startDelayMs * Math.exp(-(now - startDelayAt) / startDelayDecayMs);
 	return (pendingPromptTokens * prefillMsPerToken) + ((inFlight + others) * firstByteMs * runningRequestShare) + (othersAwaitingFirstByte * firstByteMs) + startDelay;
 };
 
-/** Whether an endpoint said itself that it can't take a request for this model, or has ended. */
+/** Whether an endpoint has announced that it can't accept a request for this model, or has ended. */
 const isUnavailable = (endpoint: FleetEndpoint, {isReplaced, isLeaving, notListeningUntil, missingModels}: EndpointObservations, name: string, now: number): boolean =>
 	isReplaced || isLeaving || now < notListeningUntil || missingModels.get(name) === endpoint.revision;
 
-/** Whether others are to be preferred: it failed lately, sends nothing, or control hears nothing of it and neither does this entry. */
+/** Whether others are preferred: it failed recently, is stalled, or neither control nor this entry has received anything from it. */
 const isSuspect = (endpoint: FleetEndpoint, {suspectUntil, inFlight, lastByteAt, busySince}: EndpointObservations, now: number): boolean => {
 	const isStalled = inFlight > 0 && now - Math.max(lastByteAt, busySince) > stallThresholdMs;
 	const isHeartbeatMissing = endpoint.phase === EndpointPhase.Silent && now - lastByteAt > stallThresholdMs;
 	return now < suspectUntil || isStalled || isHeartbeatMissing;
 };
 
-/** Endpoints that could take the request, now or later. */
+/** Returns the endpoints that could accept the request, now or later. */
 const listCandidates = ({endpoints, model, adapter, attemptedIds, now, getObservations}: EndpointChoiceInput): FleetEndpoint[] =>
 	endpoints.filter(endpoint => !attemptedIds.has(endpoint.id) && holdsModel(endpoint, model, adapter) && !isUnavailable(endpoint, getObservations(endpoint.id), formatModel(model ?? '', adapter), now));
 
-/** The order in which endpoints are asked: sound ones first, and among equals those that may have a permit. */
+/** Order of preference: healthy endpoints first, and among equals those that may have a permit. */
 enum Rank {
 	Healthy,
-	/** It had no permit for this entry's last request; it may have one for this. */
+	/** Had no permit for this entry's last request, but may have one for this one. */
 	HealthyWithoutPermit,
 	Suspect,
 	SuspectWithoutPermit,
@@ -108,25 +108,25 @@
 	return hasPermit(endpoint, input) ? Rank.Healthy : Rank.HealthyWithoutPermit;
 };
 
-/** Only its answers tell that the limit of an endpoint is over, so it is asked now and then although others are as near. */
+/** Only an endpoint's own responses show that its limit is lifted, so limited endpoints are probed at intervals although others cost less. */
 const isProbeDue = (endpoint: FleetEndpoint, {now, random, getObservations, isLimited, limitedProbeMs}: EndpointChoiceInput): boolean =>
 	isLimited(endpoint) && now - getObservations(endpoint.id).lastByteAt > limitedProbeMs * (0.5 + random());
 
-/** What one more request there costs, ms: the time until there is a permit, or the expected wait. */
+/** Returns the cost of one more request, ms: the expected wait plus penalties and the time until a permit. */
 const estimateCost = (endpoint: FleetEndpoint, input: EndpointChoiceInput): number => {
 	if (isProbeDue(endpoint, input)) {
 		return probeCostMs;
 	}
 
 	const {failureDomain, now, getObservations, isLimited} = input;
-	const knowledge = getObservations(endpoint.id);
+	const observations = getObservations(endpoint.id);
 	const domainMs = endpoint.failureDomain === failureDomain ? 0 : crossDomainPenaltyMs;
 	const limitPenaltyMs = isLimited(endpoint) ? limitedPenaltyMs : 0;
-	const permitMs = hasPermit(endpoint, input) ? 0 : knowledge.permitAt - now;
-	return estimateWait(knowledge, input) + domainMs + limitPenaltyMs + permitMs;
+	const permitMs = hasPermit(endpoint, input) ? 0 : observations.permitAt - now;
+	return estimateWait(observations, input) + domainMs + limitPenaltyMs + permitMs;
 };
 
-/** When an endpoint may be sent the request, or asked whether it may. */
+/** Returns when the request may be sent to an endpoint, or a permit for it requested. */
 const getAdmission = ({id}: FleetEndpoint, {permitRetryAt, now, getObservations}: EndpointChoiceInput): Admission => {
 	const retryAt = permitRetryAt.get(id) ?? Number.NEGATIVE_INFINITY;
 	const backoff = getObservations(id).backoff.checkAdmission(now);
@@ -137,35 +137,35 @@
 	return now < retryAt ? {kind: AdmissionKind.At, at: retryAt} : backoff;
 };
 
-/** Endpoints that could take the request, and may be asked now. */
+/** Returns the candidates that admit the request now. */
 const listAvailable = (input: EndpointChoiceInput): FleetEndpoint[] =>
 	listCandidates(input).filter(endpoint => getAdmission(endpoint, input).kind === AdmissionKind.Now);
 
-/** Endpoints that may be asked now, the best first. */
+/** Returns the available endpoints, best first. */
 const listByPreference = (input: EndpointChoiceInput): Array<{endpoint: FleetEndpoint; rank: Rank}> =>
 	listAvailable(input)
 		.map(endpoint => ({endpoint, rank: rankEndpoint(endpoint, input), cost: estimateCost(endpoint, input) + input.random()}))
 		.toSorted((a, b) => a.rank - b.rank || a.cost - b.cost);
 
-/** Chooses; undefined when no endpoint may get the request now. */
+/** Returns the best endpoint; undefined when none admits the request now. */
 export const chooseEndpoint = (input: EndpointChoiceInput): FleetEndpoint | undefined => listByPreference(input)[0]?.endpoint;
 
 const suspectRanks = new Set([Rank.Suspect, Rank.SuspectWithoutPermit]);
 
-/** Limited endpoints that may be asked for a permit now, the best first; doubtful ones only if there are no others. */
+/** Returns the limited endpoints from which a permit may be requested now, best first; suspect ones only if no others are left. */
 export const listLimitedEndpoints = (input: EndpointChoiceInput): FleetEndpoint[] => {
 	const limited = listByPreference(input).filter(({endpoint}) => input.isLimited(endpoint));
 	const healthy = limited.filter(({rank}) => !suspectRanks.has(rank));
 	return (healthy.length > 0 ? healthy : limited).map(({endpoint}) => endpoint);
 };
 
-/** Whether an endpoint without a limit may get the request now. */
+/** Whether an endpoint without a limit admits the request now. */
 export const hasUnlimitedEndpoint = (input: EndpointChoiceInput): boolean => listAvailable(input).some(endpoint => !input.isLimited(endpoint));
 
-/** When one of the endpoints that hold what a request needs may take it, and whether that is likely. */
+/** When a candidate may accept the request, and whether it is likely to. */
 export type ExpectedCapacity = {admission: Admission; isReliable: boolean};
 
-/** What is expected of each endpoint that could take the request, now or later. */
+/** Returns the expected capacity of each candidate. */
 export const listExpectedCapacity = (input: EndpointChoiceInput): ExpectedCapacity[] =>
 	listCandidates(input).map(endpoint => {
 		const admission = getAdmission(endpoint, input);
--- a/packages/mastvalve-gateway/src/routing/endpoint-tracker.ts
+++ b/packages/mastvalve-gateway/src/routing/endpoint-tracker.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry has learned of the endpoints from its own requests. Nothing in it must survive.
+ * Per-endpoint state that one entry derives from its own requests. It is not persisted; losing it is safe.
  */
 
 import {
@@ -7,212 +7,211 @@
 } from 'mastvalve-limits';
 import type {ReportedLoad} from '../dialect.js';
 
-/** What is known of one endpoint. */
+/** Observations of one endpoint. */
 export type EndpointObservations = {
-	/** Own requests there. */
+	/** Requests of this entry in flight. */
 	inFlight: number;
-	/** Own requests there that have not had their first byte. */
+	/** Requests of this entry in flight without a first byte. */
 	awaitingFirstByte: number;
-	/** Prompt tokens of own requests there that have not had their first byte. */
+	/** Prompt tokens of those requests. */
 	pendingPromptTokens: number;
 	load: ReportedLoad | undefined;
-	/** When the load was told, ms. */
+	/** When the load was reported, ms. */
 	loadReportedAt: number;
-	/** How much later than without a queue its answers began lately, ms. */
+	/** Moving mean of the delay of first bytes beyond the time without a queue, ms. */
 	startDelayMs: number;
-	/** When the last of them began, ms. */
+	/** When that delay was last updated, ms. */
 	startDelayAt: number;
-	/** Others are preferred until then, ms. */
+	/** Others are preferred until this time, ms. */
 	suspectUntil: number;
 	failures: number;
-	/** Nobody listened at its address; it gets nothing until then, ms. */
+	/** No process listened at its address; it receives no requests until this time, ms. */
 	notListeningUntil: number;
-	/** When it last sent a byte of an answer that it has run, ms. */
+	/** When the last byte of an executed response was received, ms. */
 	lastByteAt: number;
-	/** Since when own requests are there without a pause, ms. */
+	/** Since when at least one request of this entry has been in flight, ms. */
 	busySince: number;
-	/** Models, with their adapters, that it said it does not hold, and the revision of it that had promised them. */
+	/** Models with adapters that it reported not to hold, with the revision of the endpoint that listed them. */
 	missingModels: Map<string, number>;
-	/** It had no permit for a request of this entry, and has one then, ms. */
+	/** When the next permit is expected, after one was denied to this entry, ms. */
 	permitAt: number;
-	/** What the last of its answers said of its limit. */
+	/** Limit header of its last response. */
 	announcedLimit: LimitHeader;
-	/** What its refusals asked for. */
+	/** Backoff requested by its refusals. */
 	backoff: EndpointBackoff;
-	/** Whether another endpoint was met at its address. */
+	/** Whether another endpoint has answered at its address. */
 	isReplaced: boolean;
-	/** Whether it said that it is leaving; it doesn't come back under this identity. */
+	/** Whether it announced that it is leaving; it doesn't return under this identity. */
 	isLeaving: boolean;
 };
 
-/** First time for which others are preferred after a failure, ms; doubles with each failure in a row. */
+/** Initial time for which others are preferred after a failure, ms; doubles with each consecutive failure. */
 const initialSuspicionMs = 400;
 const maxSuspicionMs = 6000;
 
 /**
- * A process that does not listen has ended, and control notes it within this time by missing heartbeats or the next incarnation's first
- * one, ms. Until then such endpoints would use up the tries of requests at once.
+ * Time for which an endpoint that doesn't listen is skipped, ms. Its process has ended, and control detects that within this time by
+ * missing heartbeats or the first one of the next incarnation. Until then such endpoints would exhaust the attempts of requests at once.
  */
 const notListeningMs = 5000;
 
-/** Weight of the newest answer's delay. */
+/** Weight of the newest response in the moving mean of start delays. */
 const delayWeight = 0.4;
 
 /** A request that was sent to an endpoint. */
 export type EndpointRequest = {
-	/** Its prompt has been read. */
+	/** Records that the prefill is done. */
 	recordFirstByte: () => void;
-	/** The head of its answer is here; whether the endpoint took the request. */
+	/** Records the head of the response; `isTaken` is whether the endpoint accepted the request. */
 	recordResponse: (isTaken: boolean) => void;
 	end: () => void;
 };
 
-const formatAnnouncedLimit = (word: LimitHeader): string => (word.kind === LimitHeaderKind.Rate ? String(word.perSecond) : word.kind);
+const formatAnnouncedLimit = (limit: LimitHeader): string => (limit.kind === LimitHeaderKind.Rate ? String(limit.perSecond) : limit.kind);
 
-/** The board. */
+/** Tracks all endpoints of one entry. */
 export class EndpointTracker {
-	private readonly known = new Map<string, EndpointObservations>();
+	private readonly observationsById = new Map<string, EndpointObservations>();
 
-	/** `onChange` is called when an endpoint takes more or fewer requests than before. */
+	/** Calls `onChange` when an endpoint accepts more or fewer requests than before. */
 	constructor(private readonly now: () => number, private readonly onChange: () => void = () => undefined) {}
 
 	getOrCreate(id: string): EndpointObservations {
-		const knowledge = this.known.get(id) ?? {
+		const observations = this.observationsById.get(id) ?? {
 			inFlight: 0, awaitingFirstByte: 0, pendingPromptTokens: 0, load: undefined, loadReportedAt: Number.NEGATIVE_INFINITY, startDelayMs: 0, startDelayAt: Number.NEGATIVE_INFINITY, suspectUntil: 0, failures: 0, notListeningUntil: 0, lastByteAt: Number.NEGATIVE_INFINITY, busySince: 0, missingModels: new Map<string, number>(), permitAt: 0, announcedLimit: {kind: LimitHeaderKind.Absent}, backoff: new EndpointBackoff(), isReplaced: false, isLeaving: false,
 		};
-		this.known.set(id, knowledge);
-		return knowledge;
+		this.observationsById.set(id, observations);
+		return observations;
 	}
 
-	/** A request goes there. */
+	/** Counts a request that is sent to an endpoint. */
 	beginRequest(id: string, promptTokens: number): EndpointRequest {
-		const knowledge = this.getOrCreate(id);
-		let unread = promptTokens;
+		const observations = this.getOrCreate(id);
+		let pendingTokens = promptTokens;
 		let isOpen = true;
-		knowledge.busySince = knowledge.inFlight === 0 ? this.now() : knowledge.busySince;
-		knowledge.inFlight += 1;
-		knowledge.pendingPromptTokens += promptTokens;
-		knowledge.awaitingFirstByte += 1;
-		let isUnread = true;
-		const read = (): void => {
-			knowledge.pendingPromptTokens -= unread;
-			knowledge.awaitingFirstByte -= isUnread ? 1 : 0;
-			isUnread = false;
-			unread = 0;
+		observations.busySince = observations.inFlight === 0 ? this.now() : observations.busySince;
+		observations.inFlight += 1;
+		observations.pendingPromptTokens += promptTokens;
+		observations.awaitingFirstByte += 1;
+		let isAwaitingFirstByte = true;
+		const recordFirstByte = (): void => {
+			observations.pendingPromptTokens -= pendingTokens;
+			observations.awaitingFirstByte -= isAwaitingFirstByte ? 1 : 0;
+			isAwaitingFirstByte = false;
+			pendingTokens = 0;
 		};
 
-		const backoffUse = knowledge.backoff.beginRequest();
+		const backoffUse = observations.backoff.beginRequest();
 		const notifyIf = (mayTakeMore: boolean): void => {
 			if (mayTakeMore) {
 				this.onChange();
 			}
 		};
 
-		const answer = (isTaken: boolean): void => {
+		const recordResponse = (isTaken: boolean): void => {
 			notifyIf(backoffUse.recordAnswer(isTaken));
 		};
 
 		return {
-			recordFirstByte: read,
-			recordResponse: answer,
+			recordFirstByte,
+			recordResponse,
 			end() {
-				read();
-				knowledge.inFlight -= isOpen ? 1 : 0;
+				recordFirstByte();
+				observations.inFlight -= isOpen ? 1 : 0;
 				isOpen = false;
 				notifyIf(backoffUse.finish());
 			},
 		};
 	}
 
-	/** An answer began so much later than without a queue, ms. */
+	/** Records the delay of a first byte beyond the time without a queue, ms. */
 	recordStartDelay(id: string, delayMs: number): void {
-		const knowledge = this.getOrCreate(id);
-		knowledge.startDelayMs += (Math.max(0, delayMs) - knowledge.startDelayMs) * delayWeight;
-		knowledge.startDelayAt = this.now();
+		const observations = this.getOrCreate(id);
+		observations.startDelayMs += (Math.max(0, delayMs) - observations.startDelayMs) * delayWeight;
+		observations.startDelayAt = this.now();
 	}
 
-	/** A byte came. */
 	recordByte(id: string): void {
 		this.getOrCreate(id).lastByteAt = this.now();
 	}
 
-	/** It said that it does not hold a model which that revision of it had promised. */
+	/** Records that an endpoint doesn't hold a model that this revision of it listed. */
 	recordMissingModel(id: string, model: string, revision: number): void {
 		this.getOrCreate(id).missingModels.set(model, revision);
 	}
 
-	/** Another endpoint is at its address. */
+	/** Records that another endpoint answered at its address. */
 	recordReplaced(id: string): void {
 		this.getOrCreate(id).isReplaced = true;
 	}
 
 	recordLoad(id: string, load: ReportedLoad | undefined): void {
-		const knowledge = this.getOrCreate(id);
+		const observations = this.getOrCreate(id);
 		if (load) {
-			knowledge.load = load;
-			knowledge.loadReportedAt = this.now();
+			observations.load = load;
+			observations.loadReportedAt = this.now();
 		}
 	}
 
-	/** It has named a limit, and has a permit again at this moment, ms. */
+	/** Records when a limited endpoint will have the next permit, ms. */
 	recordNextPermit(id: string, at: number): void {
 		this.getOrCreate(id).permitAt = at;
 	}
 
-	/** An answer said something of its limit; whether that is news. */
-	recordAnnouncedLimit(id: string, word: LimitHeader): boolean {
-		const knowledge = this.getOrCreate(id);
-		const isNews = formatAnnouncedLimit(knowledge.announcedLimit) !== formatAnnouncedLimit(word);
-		knowledge.announcedLimit = word;
-		return isNews;
+	/** Records the limit header of a response; returns whether it has changed. */
+	recordAnnouncedLimit(id: string, limit: LimitHeader): boolean {
+		const observations = this.getOrCreate(id);
+		const hasChanged = formatAnnouncedLimit(observations.announcedLimit) !== formatAnnouncedLimit(limit);
+		observations.announcedLimit = limit;
+		return hasChanged;
 	}
 
-	/** It refused a request and asked this entry to back off; `random` is in [0, 1). */
+	/** Records a refusal with a requested backoff; `random` is in [0, 1). */
 	recordBackoff(id: string, delayMs: number, random: number): void {
 		this.getOrCreate(id).backoff.recordRefusal(this.now(), delayMs, random);
 		this.onChange();
 	}
 
-	/** An answer said that it is leaving; whether that is news. */
+	/** Records that an endpoint announced its leaving; returns whether that is new. */
 	recordLeaving(id: string): boolean {
-		const knowledge = this.getOrCreate(id);
-		const isNews = !knowledge.isLeaving;
-		knowledge.isLeaving = true;
-		if (isNews) {
+		const observations = this.getOrCreate(id);
+		const hasChanged = !observations.isLeaving;
+		observations.isLeaving = true;
+		if (hasChanged) {
 			this.onChange();
 		}
 
-		return isNews;
+		return hasChanged;
 	}
 
-	/** Whether a request that was to go there may still be sent. */
+	/** Whether a request that was assigned to an endpoint may still be sent. */
 	canSend(id: string): boolean {
 		const {isLeaving, backoff} = this.getOrCreate(id);
 		return !isLeaving && backoff.checkAdmission(this.now()).kind === AdmissionKind.Now;
 	}
 
 	recordSuccess(id: string): void {
-		const knowledge = this.getOrCreate(id);
-		knowledge.failures = 0;
-		knowledge.suspectUntil = 0;
+		const observations = this.getOrCreate(id);
+		observations.failures = 0;
+		observations.suspectUntil = 0;
 	}
 
-	/** Nobody listens at its address. */
+	/** Records that no process listens at its address. */
 	recordNotListening(id: string): void {
 		this.getOrCreate(id).notListeningUntil = this.now() + notListeningMs;
 	}
 
-	/** It failed or did not answer: for a while others are tried first. */
+	/** Records a failure or time-out: others are preferred for a while. */
 	recordFailure(id: string): void {
-		const knowledge = this.getOrCreate(id);
-		knowledge.suspectUntil = this.now() + Math.min(maxSuspicionMs, initialSuspicionMs * (2 ** knowledge.failures));
-		knowledge.failures += 1;
+		const observations = this.getOrCreate(id);
+		observations.suspectUntil = this.now() + Math.min(maxSuspicionMs, initialSuspicionMs * (2 ** observations.failures));
+		observations.failures += 1;
 	}
 
-	/** Forgets endpoints without requests. */
+	/** Evicts unknown endpoints without requests in flight. */
 	retainOnly(isKnown: (id: string) => boolean): void {
-		[...this.known].filter(([id, {inFlight}]) => inFlight === 0 && !isKnown(id)).forEach(([id]) => {
-			this.known.delete(id);
+		[...this.observationsById].filter(([id, {inFlight}]) => inFlight === 0 && !isKnown(id)).forEach(([id]) => {
+			this.observationsById.delete(id);
 		});
 	}
 }
--- a/packages/mastvalve-gateway/src/routing/first-byte-times.ts
+++ b/packages/mastvalve-gateway/src/routing/first-byte-times.ts
@@ -1,34 +1,33 @@
 /**
- * How long engines without a queue take to begin an answer, by model: learned from this entry's own requests.
+ * Estimates the time to first byte of engines without a queue, per model, from this entry's own requests.
  *
- * It is learned as a time for each prompt token, and told for a prompt of the mean size. Prompts are heavy-tailed: the largest
- * tenth is most of what an engine reads. A typical answer's time would let engines of busy models count as half used when
- * they are full.
+ * The estimate is kept per prompt token and reported for a prompt of mean size. Prompt sizes are heavy-tailed: the largest tenth
+ * accounts for most of the prefill work. With the time of a typical response, engines of busy models would count as half utilised when
+ * they are saturated.
  *
- * The lower quartile of the time for a token is followed, since requests that queue, or meet a slow engine, take longer than
- * the reading of their prompts.
+ * Tracks the lower quartile of the time per token, since requests that queue or reach a slow engine take longer than their prefill.
  */
 
-/** Followed quantile. */
+/** Tracked quantile. */
 const quantile = 0.25;
-/** Part by which the estimate moves with each request: about 30 requests halve or double it. */
+/** Relative change of the estimate per request: about 30 requests halve or double it. */
 const step = 0.1;
-/** Weight of the newest prompt in the mean size: that of 20 requests, since sizes spread widely. */
+/** Weight of the newest prompt in the moving mean of prompt sizes: averages over about 20 requests, since sizes vary widely. */
 const promptSizeWeight = 0.05;
-/** Time before the first request of a model was seen, ms: between the fastest and the slowest engines known (0.03 to 0.15 s). */
+/** Default without any samples, ms: between the fastest and the slowest known engines (0.03 to 0.15 s). */
 const defaultFirstByteMs = 125;
-/** Requests after which an estimate is worth telling others. */
+/** Samples required before an estimate is reported. */
 const minSamples = 8;
-/** Prompt tokens before the first request was seen. */
+/** Mean prompt size assumed without any samples, tokens. */
 const defaultPromptTokens = 1000;
 
 type Estimate = {prefillMsPerToken: number; tokens: number; samples: number};
 
-/** The times. */
+/** Estimates of one entry. */
 export class FirstByteTimes {
 	private readonly models = new Map<string, Estimate>();
 
-	/** An answer began so long after its request was handed over, ms. */
+	/** Records the time from sending a request to the first byte of its response, ms. */
 	record(model: string, promptTokens: number, headMs: number): void {
 		const tokens = Math.max(1, promptTokens);
 		const known = this.models.get(model) ?? {prefillMsPerToken: Math.min(headMs, defaultFirstByteMs) / tokens, tokens, samples: 0};
@@ -40,18 +39,18 @@
 		});
 	}
 
-	/** Time in which an engine without a queue begins the answer to a prompt of the mean size, ms. */
+	/** Returns the time to first byte for a prompt of mean size at an engine without a queue, ms. */
 	getFirstByteMs(model: string): number {
 		const known = this.models.get(model);
 		return known ? known.prefillMsPerToken * known.tokens : this.meanFirstByteMs;
 	}
 
-	/** The part of that for each prompt token, ms. */
+	/** Returns the share of that time per prompt token, ms. */
 	getPrefillMsPerToken(model: string): number {
 		return this.models.get(model)?.prefillMsPerToken ?? this.meanFirstByteMs / defaultPromptTokens;
 	}
 
-	/** Estimates that rest on enough requests, by model, ms. */
+	/** Returns the estimates with enough samples, by model, ms. */
 	list(): Record<string, number> {
 		const reliable = [...this.models].filter(([, {samples}]) => samples >= minSamples);
 		return Object.fromEntries(reliable.map(([model]) => [model, Math.round(this.getFirstByteMs(model) * 10) / 10]));
--- a/packages/mastvalve-gateway/src/routing/forget-gone-endpoints.ts
+++ b/packages/mastvalve-gateway/src/routing/forget-gone-endpoints.ts
@@ -1,12 +1,12 @@
 /**
- * Drops what an entry has learned of endpoints once control says that they have ended.
+ * Evicts per-endpoint state once control reports the endpoint as gone.
  */
 
 import type {FleetView} from '../fleet/fleet-view.js';
 import type {EndpointTracker} from './endpoint-tracker.js';
 import type {ModelDemand} from './model-demand.js';
 
-/** Follows the view. While a whole state arrives in parts, endpoints that are missing may be in a later part. */
+/** Subscribes to the view. Nothing is evicted while a full state arrives in parts, since missing endpoints may follow in a later part. */
 export const forgetGoneEndpoints = (view: FleetView, tracker: EndpointTracker, demand: ModelDemand): void => {
 	view.subscribe(() => {
 		if (view.hasAllEndpoints) {
--- a/packages/mastvalve-gateway/src/routing/model-demand.ts
+++ b/packages/mastvalve-gateway/src/routing/model-demand.ts
@@ -1,5 +1,5 @@
 /**
- * Which models and adapters callers ask this entry for, and which of them no endpoint holds. Control learns of it.
+ * Tracks the models and adapters that callers request from this entry, and those that no endpoint holds, for reports to control.
  */
 
 import type {DemandReport, PendingDemand} from 'mastvalve-fleet-control';
@@ -7,10 +7,10 @@
 
 type Waiting = {service: string; model: string; adapter: string | undefined; deadlines: number[]};
 
-/** A model with an adapter, in one text. */
+/** Formats a model and an optional adapter as `model/adapter`. */
 export const formatModel = (model: string, adapter: string | undefined): string => (adapter === undefined ? model : `${model}/${adapter}`);
 
-/** The demand of one entry. */
+/** Demand of one entry. */
 export class ModelDemand {
 	private requests: Record<string, number> = {};
 	private urgent: Record<string, number> = {};
@@ -21,7 +21,7 @@
 
 	constructor(private readonly entry: string, private readonly now: () => number, private readonly onReportDue: () => void, private readonly headTimes: FirstByteTimes) {}
 
-	/** A request came; whether its caller has time for a change of models. */
+	/** Counts a request; `canWaitForLoad` is false when its deadline doesn't allow for loading a model. */
 	recordRequest(model: string, adapter: string | undefined, canWaitForLoad: boolean): void {
 		const name = formatModel(model, adapter);
 		this.requests[name] = (this.requests[name] ?? 0) + 1;
@@ -30,13 +30,13 @@
 		}
 	}
 
-	/** An endpoint refused a request for a model or adapter which it was thought to hold. */
+	/** Records that an endpoint refused a request for a model or adapter that it was expected to hold. */
 	recordMisdirected(endpointId: string): void {
 		this.suspects.add(endpointId);
 		this.onReportDue();
 	}
 
-	/** Nobody listens at the address of an endpoint. */
+	/** Records that no process listens at the address of an endpoint. */
 	recordNotListening(endpointId: string): void {
 		if (!this.notListening.has(endpointId)) {
 			this.notListening.add(endpointId);
@@ -44,7 +44,7 @@
 		}
 	}
 
-	/** An answer of an endpoint said that it is leaving. */
+	/** Records that an endpoint announced in a response that it is leaving. */
 	recordLeaving(endpointId: string): void {
 		if (!this.leaving.has(endpointId)) {
 			this.leaving.add(endpointId);
@@ -52,12 +52,12 @@
 		}
 	}
 
-	/** Forgets leaving endpoints of which control knows it. */
+	/** Drops leaving endpoints that control already knows to be leaving. */
 	retainLeaving(isUnknownToControl: (id: string) => boolean): void {
 		this.leaving = new Set([...this.leaving].filter(id => isUnknownToControl(id)));
 	}
 
-	/** A request waits for what no endpoint holds; the result ends that. */
+	/** Registers a request that waits for a model or adapter that no endpoint holds; the returned function removes it. */
 	beginWait(service: string, model: string, adapter: string | undefined, deadlineAt: number): () => void {
 		const key = `${service} ${formatModel(model, adapter)}`;
 		const waiting = this.waiting.get(key) ?? {
@@ -77,7 +77,7 @@
 		};
 	}
 
-	/** The demand since the last call. */
+	/** Returns the demand since the last call and resets the counters. */
 	takeReport(): DemandReport {
 		const {requests, urgent, suspects, notListening} = this;
 		this.requests = {};
--- a/packages/mastvalve-gateway/src/routing/service-retry-budget.ts
+++ b/packages/mastvalve-gateway/src/routing/service-retry-budget.ts
@@ -1,36 +1,35 @@
 /**
- * This entry's share of the retries that a service may get: a part of its own first tries in a sliding window, and its part of those
- * that need no first try, as one of the entries that control has counted. So the sum over all entries stays below what operators
- * allow.
+ * Limits the retries that this entry sends to a service: a ratio of its own first attempts in a sliding window, plus an equal share of
+ * the slack, which is divided by the number of entries that control has counted. The sum over all entries stays below the bound that
+ * operators set.
  */
 
-/** Bounds of the allowance. */
 export type RetryLimits = {
-	/** Retries for each first try. */
+	/** Retries per first attempt. */
 	ratio: number;
-	/** Retries in a window that need no first try, of all entries together. */
+	/** Retries per window that are allowed regardless of first attempts, over all entries. */
 	slack: number;
 	windowMs: number;
 };
 
 type RequestTimes = {first: number[]; retries: number[]};
 
-/** The allowance. */
+/** Retry budget of one entry, kept per service. */
 export class ServiceRetryBudget {
 	private readonly services = new Map<string, RequestTimes>();
 
-	/** `readEntries` tells how many entries share the bounds; undefined while control has told none. */
+	/** `readEntries` returns the number of entries that share the slack; undefined until control has reported it. */
 	constructor(private readonly bounds: RetryLimits, private readonly now: () => number, private readonly readEntries: () => number | undefined) {}
 
-	/** A request for a service came. */
+	/** Counts a first attempt. */
 	recordRequest(service: string): void {
 		this.getTimes(service).first.push(this.now());
 	}
 
-	/** Takes a retry, if one is left. */
+	/** Consumes a retry; returns false when the budget is exhausted. */
 	takeRetry(service: string): boolean {
 		const {ratio, slack} = this.bounds;
-		// A number of its own for each entry would add up to more than all of them may make, once there are many.
+		// A fixed slack per entry would exceed the total slack once there are many entries.
 		const ownSlack = slack / (this.readEntries() ?? Number.POSITIVE_INFINITY);
 		const times = this.getTimes(service);
 		if (times.retries.length + 1 > (ratio * times.first.length) + ownSlack) {
