--- a/packages/mastvalve-claims/src/claim-request.ts
+++ b/packages/mastvalve-claims/src/claim-request.ts
@@ -15,7 +15,7 @@
 };
 
 /** Tells how an attempt ended. */
-export type ClaimEnd = {
+export type ClaimCompletion = {
 	key: string;
 	attempt: string;
 	status: ClaimStatus.Done | ClaimStatus.NotRun | ClaimStatus.Unknown;
--- a/packages/mastvalve-claims/src/claim-table.ts
+++ b/packages/mastvalve-claims/src/claim-table.ts
@@ -7,14 +7,14 @@
 
 import {ClaimStatus, type Claim} from 'mastvalve-types';
 import {ClaimDecisionKind, type ClaimDecision} from './claim-decision.js';
-import type {ClaimEnd, ClaimRequest} from './claim-request.js';
+import type {ClaimCompletion, ClaimRequest} from './claim-request.js';
 
 /** Limits of a table. */
 export type ClaimLimits = {
 	/** How long keys are kept, ms from their issue. */
 	retentionMs: number;
 	/** How far ahead an issue time may be, ms. */
-	maxAheadMs: number;
+	maxIssuedAheadMs: number;
 	maxClaims: number;
 };
 
@@ -57,7 +57,7 @@
 			return {kind: ClaimDecisionKind.TooOld};
 		}
 
-		if (request.issuedAt > now + this.limits.maxAheadMs) {
+		if (request.issuedAt > now + this.limits.maxIssuedAheadMs) {
 			return {kind: ClaimDecisionKind.TooNew};
 		}
 
@@ -75,7 +75,7 @@
 	}
 
 	/** Records how an attempt ended; false when it no longer holds the key. */
-	finish(end: ClaimEnd): boolean {
+	finish(end: ClaimCompletion): boolean {
 		const claim = this.claims.get(end.key);
 		const mayEnd = claim?.attempt === end.attempt && (claim.status === ClaimStatus.Running || claim.status === ClaimStatus.Unknown);
 		if (!claim || !mayEnd) {
--- a/packages/mastvalve-cluster/__tests__/__fixtures__/virtual-group.ts
+++ b/packages/mastvalve-cluster/__tests__/__fixtures__/virtual-group.ts
@@ -40,7 +40,7 @@
 
 	/** The one that leads with a valid lease, and is awake. */
 	get leader(): number | undefined {
-		const index = this.nodes.findIndex((node, each) => !this.members[each]!.isSuspended && node.isFresh());
+		const index = this.nodes.findIndex((node, each) => !this.members[each]!.isSuspended && node.hasLinearizableState());
 		return index === -1 ? undefined : index;
 	}
 
@@ -104,7 +104,7 @@
 				restoreSnapshot: () => undefined,
 			},
 			clock,
-			snapshotEvery: 1000,
+			snapshotIntervalEntries: 1000,
 			persist: async () => undefined,
 			send: message => {
 				this.onTheWay.push(message);
--- a/packages/mastvalve-cluster/__tests__/control-group.steps.ts
+++ b/packages/mastvalve-cluster/__tests__/control-group.steps.ts
@@ -359,7 +359,7 @@
 	this.startedAt = 1000;
 	this.timeoutMs = timeoutMs;
 	this.replica = new Replica({
-		id: 'a', initialMembership: {voters: ['a', 'b', 'c'], learners: []}, restored: {hardState: {term: 1}, snapshot: undefined, entries: []}, times: {electionTimeoutMs: timeoutMs, heartbeatMs: 100, maxClockDrift: 0.1}, rules: defaultReplicaRules, random: () => 0, now: this.startedAt + loadMs, quietSince: this.startedAt,
+		id: 'a', initialMembership: {voters: ['a', 'b', 'c'], learners: []}, restored: {hardState: {term: 1}, snapshot: undefined, entries: []}, times: {electionTimeoutMs: timeoutMs, heartbeatMs: 100, maxClockDrift: 0.1}, rules: defaultReplicaRules, random: () => 0, now: this.startedAt + loadMs, processStartedAt: this.startedAt,
 	});
 });
 
--- a/packages/mastvalve-cluster/__tests__/suspension.steps.ts
+++ b/packages/mastvalve-cluster/__tests__/suspension.steps.ts
@@ -42,7 +42,7 @@
 	const node = this.virtualGroup.nodes[this.suspended]!;
 	let claims = 0;
 	const check = (): void => {
-		claims += node.isFresh() && node.appliedIndex < this.virtualGroup.newestIndex ? 1 : 0;
+		claims += node.hasLinearizableState() && node.appliedIndex < this.virtualGroup.newestIndex ? 1 : 0;
 	};
 
 	// A call of an operator may be read before any message of the others.
@@ -52,7 +52,7 @@
 });
 
 Then('the follower doesn\'t say on waking that it has heard the leader', function (this: SuspensionWorld) {
-	assert.equal(this.virtualGroup.nodes[this.suspended]!.leaderHeardAt(), undefined);
+	assert.equal(this.virtualGroup.nodes[this.suspended]!.leaderContactAt(), undefined);
 });
 
 Then('{int} ms later all have the change', async function (this: SuspensionWorld, ms: number) {
@@ -67,7 +67,7 @@
 
 Then('it has its lease again within {int} ms', async function (this: SuspensionWorld, ms: number) {
 	await this.virtualGroup.run(ms);
-	assert.equal(this.virtualGroup.nodes[this.suspended]!.isFresh(), true);
+	assert.equal(this.virtualGroup.nodes[this.suspended]!.hasLinearizableState(), true);
 });
 
 Then('it has led without a break in one term', function (this: SuspensionWorld) {
--- a/packages/mastvalve-cluster/src/membership/announcements.ts
+++ b/packages/mastvalve-cluster/src/membership/announcements.ts
@@ -2,7 +2,7 @@
  * Who has asked lately to be taken into the membership of the replicated log.
  */
 
-import {nameOfReplica, type ReplicaId} from 'mastvalve-replication';
+import {getInstanceName, type ReplicaId} from 'mastvalve-replication';
 
 /** An instance that asks to be taken in. */
 export type Announcement = {id: ReplicaId; mayBegin: boolean};
@@ -31,6 +31,6 @@
 
 	/** Addresses of those that want to join. */
 	listAddresses(): string[] {
-		return this.listJoining().map(nameOfReplica);
+		return this.listJoining().map(getInstanceName);
 	}
 }
--- a/packages/mastvalve-cluster/src/membership/control-directory.ts
+++ b/packages/mastvalve-cluster/src/membership/control-directory.ts
@@ -6,7 +6,7 @@
  * life and none after a restart, so two logs never begin.
  */
 
-import {nameOfReplica, type ReplicaId} from 'mastvalve-replication';
+import {getInstanceName, type ReplicaId} from 'mastvalve-replication';
 import {
 	assumeType, describeError, repeatUntilAborted, type Clock,
 } from 'mastvalve-utils';
@@ -97,6 +97,6 @@
 
 		this.search.learn(this.announcements.listAddresses());
 		const answers = await this.search.ask();
-		this.keepers = answers.filter(({clusterId}) => clusterId !== undefined).flatMap(({replicaId}) => (replicaId === undefined ? [] : [nameOfReplica(replicaId)]));
+		this.keepers = answers.filter(({clusterId}) => clusterId !== undefined).flatMap(({replicaId}) => (replicaId === undefined ? [] : [getInstanceName(replicaId)]));
 	}
 }
--- a/packages/mastvalve-cluster/src/membership/control-group.ts
+++ b/packages/mastvalve-cluster/src/membership/control-group.ts
@@ -9,7 +9,7 @@
 	assumeType, callUntilAborted, describeError, repeatUntilAborted, waitFor,
 } from 'mastvalve-utils';
 import {
-	createFileSystem, formatReplicaId, Journal, journalFormat, nameOfReplica,
+	createFileSystem, formatReplicaId, Journal, journalFormat, getInstanceName,
 	type LogNode, type Message, type ReplicaId,
 } from 'mastvalve-replication';
 import {ok, type Result} from 'neverthrow';
@@ -75,7 +75,7 @@
 	/** Addresses of all members. */
 	get members(): string[] {
 		const membership = this.node?.replica.currentMembership;
-		return membership ? [...new Set([...membership.voters, ...membership.learners].map(nameOfReplica))] : [];
+		return membership ? [...new Set([...membership.voters, ...membership.learners].map(getInstanceName))] : [];
 	}
 
 	/** Identities that make up quorums. */
@@ -85,12 +85,12 @@
 
 	/** Whether this one leads with a valid lease, and all that is committed is applied. */
 	get isLeading(): boolean {
-		return this.node?.isFresh() ?? false;
+		return this.node?.hasLinearizableState() ?? false;
 	}
 
 	/** The term in which this one leads with a valid lease, whether or not it has applied all; undefined when it doesn't. */
 	get leadingTerm(): number | undefined {
-		return this.node?.isLeading() ? this.node.replica.term : undefined;
+		return this.node?.hasReadLease() ? this.node.replica.term : undefined;
 	}
 
 	get term(): number {
@@ -113,7 +113,7 @@
 	 */
 	get isCurrent(): boolean {
 		const now = this.options.clock.now();
-		const heardAt = this.node?.leaderHeardAt();
+		const heardAt = this.node?.leaderContactAt();
 		return heardAt !== undefined && now - heardAt < staleAfterMs;
 	}
 
@@ -121,7 +121,7 @@
 	describeAge(): string {
 		const {clock} = this.options;
 		const now = clock.now();
-		const heardAt = this.node?.leaderHeardAt();
+		const heardAt = this.node?.leaderContactAt();
 		const heard = heardAt === undefined ? 'no leader heard' : `leader heard ${Math.round(now - heardAt)} ms ago`;
 		return `${heard}, applied ${this.node?.appliedIndex ?? 0} of ${this.node?.replica.commitIndex ?? 0} committed entries`;
 	}
@@ -232,7 +232,7 @@
 			const formation = decideFormation(this.identify(), this.options.readSeeds(), answers);
 			if (formation) {
 				// eslint-disable-next-line no-await-in-loop
-				await this.journal.form(formation.clusterId, formation.initialVoters);
+				await this.journal.recordCluster(formation.clusterId, formation.initialVoters);
 				this.options.onEvent('log.formed', `cluster ${formation.clusterId} as ${this.ownId}, beginning with ${formation.initialVoters.join(', ')}`);
 			} else {
 				// eslint-disable-next-line no-await-in-loop
--- a/packages/mastvalve-cluster/src/membership/leader-access.ts
+++ b/packages/mastvalve-cluster/src/membership/leader-access.ts
@@ -88,7 +88,7 @@
 
 	/** Whether this instance leads with a valid lease, whether or not it has applied all. */
 	private get isLeading(): boolean {
-		return this.node?.isLeading() ?? false;
+		return this.node?.hasReadLease() ?? false;
 	}
 
 	private async proposeHere(command: unknown): Promise<Result<unknown, MastvalveError>> {
--- a/packages/mastvalve-cluster/src/membership/membership-duty.ts
+++ b/packages/mastvalve-cluster/src/membership/membership-duty.ts
@@ -49,13 +49,13 @@
 	async changeMembership(): Promise<void> {
 		const {ownId, node, announcements, clock, voters, onEvent} = this.options;
 		const now = clock.now();
-		if (!node.isFresh() || node.replica.hasUncommittedMembership) {
+		if (!node.hasLinearizableState() || node.replica.hasUncommittedMembership) {
 			return;
 		}
 
 		const next = planNextMembership(node.replica.currentMembership, announcements.listJoining(), id => node.replica.isCaughtUp(id, now), {
 			maxVoters: voters,
-			isSilent: id => id !== ownId && now - Math.max(node.replica.acknowledgedAt(id), node.replica.ledSince) > silentMs,
+			isUnresponsive: id => id !== ownId && now - Math.max(node.replica.acknowledgedAt(id), node.replica.leaderSince) > silentMs,
 		});
 		if (next) {
 			const result = await node.proposeMembership(next);
--- a/packages/mastvalve-cluster/src/membership/start-log-node.ts
+++ b/packages/mastvalve-cluster/src/membership/start-log-node.ts
@@ -21,7 +21,7 @@
 };
 
 /** Entries between snapshots. */
-const snapshotEvery = 400;
+const snapshotIntervalEntries = 400;
 
 /** Restores the state machine, and runs the replica from there. */
 export const startLogNode = (options: ControlGroupOptions, {id, journal, transport, signal}: LogNodeParts): LogNode => {
@@ -39,14 +39,14 @@
 		rules: defaultReplicaRules,
 		random: Math.random,
 		now: clock.now(),
-		quietSince: processStartedAt,
+		processStartedAt,
 	});
 	return new LogNode({
 		replica,
 		machine,
 		clock,
-		snapshotEvery,
-		isStorageLarge: () => journal.isLarge,
+		snapshotIntervalEntries,
+		needsCompaction: () => journal.needsCompaction,
 		send(message) {
 			transport.send(message);
 		},
--- a/packages/mastvalve-cluster/src/peer/log-transport.ts
+++ b/packages/mastvalve-cluster/src/peer/log-transport.ts
@@ -6,7 +6,7 @@
  */
 
 import {
-	estimateEntry, MessageKind, nameOfReplica, takeWithin, type Message,
+	estimateEntrySize, MessageKind, getInstanceName, takeUpToSize, type Message,
 } from 'mastvalve-replication';
 import type {PeerClient} from './peer-client.js';
 
@@ -24,10 +24,10 @@
 const maxBodyBytes = 524_288;
 
 const estimateMessage = (message: Message): number =>
-	(message.kind === MessageKind.AppendRequest ? message.entries.reduce((sum, entry) => sum + estimateEntry(entry), 0) : 0);
+	(message.kind === MessageKind.AppendRequest ? message.entries.reduce((sum, entry) => sum + estimateEntrySize(entry), 0) : 0);
 
 /** What goes into the next call. */
-export const takeBody = (waiting: readonly Message[]): Message[] => takeWithin(waiting, estimateMessage, maxBodyBytes);
+export const takeBody = (waiting: readonly Message[]): Message[] => takeUpToSize(waiting, estimateMessage, maxBodyBytes);
 
 /** The transport. */
 export class LogTransport {
@@ -37,7 +37,7 @@
 
 	/** Sends a message some time soon, or never. */
 	send(message: Message): void {
-		const address = nameOfReplica(message.to);
+		const address = getInstanceName(message.to);
 		const link = this.links.get(address) ?? {waiting: [], isBusy: false};
 		this.links.set(address, link);
 		link.waiting = keepNewest([...link.waiting, message]);
--- a/packages/mastvalve-control/src/client/control-client.ts
+++ b/packages/mastvalve-control/src/client/control-client.ts
@@ -5,7 +5,7 @@
  */
 
 import type {TRPCClient} from '@trpc/client';
-import type {ClaimDecision, ClaimEnd, ClaimRequest} from 'mastvalve-claims';
+import type {ClaimCompletion, ClaimDecision, ClaimRequest} from 'mastvalve-claims';
 import {
 	createRpcClient, fromWire, type WireResult,
 } from 'mastvalve-http';
@@ -66,7 +66,7 @@
 		return this.call(async (client, signal) => client.operator.beginClaim.mutate(request, {signal}) as Promise<WireResult<ClaimDecision>>, totalMs);
 	}
 
-	async finishClaim(end: ClaimEnd): Promise<Result<boolean, MastvalveError>> {
+	async finishClaim(end: ClaimCompletion): Promise<Result<boolean, MastvalveError>> {
 		return this.call(async (client, signal) => client.operator.finishClaim.mutate(end, {signal}));
 	}
 
--- a/packages/mastvalve-control/src/server/control-handlers.ts
+++ b/packages/mastvalve-control/src/server/control-handlers.ts
@@ -37,7 +37,7 @@
 };
 
 const requireFresh = ({node}: ControlParts): Result<true, MastvalveError> =>
-	(node.isFresh() ? ok(true) : err(new NotLeaderError(node.leaderName)));
+	(node.hasLinearizableState() ? ok(true) : err(new NotLeaderError(node.leaderName)));
 
 /** What entries and sidecars ask. */
 export const createUpstreamHandlers = (parts: ControlParts): UpstreamHandlers => ({
--- a/packages/mastvalve-control/src/server/leader-duties.ts
+++ b/packages/mastvalve-control/src/server/leader-duties.ts
@@ -31,7 +31,7 @@
 
 /** Carries out all duties once, if this is the leader. */
 export const carryOutDuties = async (options: LeaderDutiesOptions): Promise<void> => {
-	if (options.node.isFresh()) {
+	if (options.node.hasLinearizableState()) {
 		await changeLogMembership(options);
 		await watchEndpoints(options);
 		await placeModels(options);
--- a/packages/mastvalve-control/src/server/operator-router.ts
+++ b/packages/mastvalve-control/src/server/operator-router.ts
@@ -2,7 +2,7 @@
  * What control offers to operators and to entries that claim keys.
  */
 
-import type {ClaimDecision, ClaimEnd, ClaimRequest} from 'mastvalve-claims';
+import type {ClaimCompletion, ClaimDecision, ClaimRequest} from 'mastvalve-claims';
 import {
 	answerWire, createRouter, procedure, trustedInput,
 } from 'mastvalve-http';
@@ -25,7 +25,7 @@
 	drainEndpoint: (request: OperatorRequest<{endpointId: string}>) => Promise<Result<true, MastvalveError>>;
 	readStatus: () => Promise<Result<ControlStatus, MastvalveError>>;
 	beginClaim: (request: ClaimRequest) => Promise<Result<ClaimDecision, MastvalveError>>;
-	finishClaim: (request: ClaimEnd) => Promise<Result<boolean, MastvalveError>>;
+	finishClaim: (request: ClaimCompletion) => Promise<Result<boolean, MastvalveError>>;
 };
 
 /** Makes the router. */
@@ -38,5 +38,5 @@
 		drainEndpoint: procedure.input(trustedInput<OperatorRequest<{endpointId: string}>>()).mutation(async ({input}) => answerWire(async () => handlers.drainEndpoint(input))),
 		readStatus: procedure.query(async () => answerWire(handlers.readStatus)),
 		beginClaim: procedure.input(trustedInput<ClaimRequest>()).mutation(async ({input}) => answerWire(async () => handlers.beginClaim(input))),
-		finishClaim: procedure.input(trustedInput<ClaimEnd>()).mutation(async ({input}) => answerWire(async () => handlers.finishClaim(input))),
+		finishClaim: procedure.input(trustedInput<ClaimCompletion>()).mutation(async ({input}) => answerWire(async () => handlers.finishClaim(input))),
 	});
--- a/packages/mastvalve-control/src/server/peer-transport.ts
+++ b/packages/mastvalve-control/src/server/peer-transport.ts
@@ -5,7 +5,7 @@
 
 import type {TRPCClient} from '@trpc/client';
 import {createRpcClient} from 'mastvalve-http';
-import {nameOfReplica, type Message} from 'mastvalve-replication';
+import {getInstanceName, type Message} from 'mastvalve-replication';
 import type {HybridClock} from 'mastvalve-utils';
 import type {ControlRouter} from './control-router.js';
 
@@ -59,6 +59,6 @@
 	}
 
 	send(message: Message): void {
-		this.channels.get(nameOfReplica(message.to))?.send(message);
+		this.channels.get(getInstanceName(message.to))?.send(message);
 	}
 }
--- a/packages/mastvalve-control/src/server/running-log.ts
+++ b/packages/mastvalve-control/src/server/running-log.ts
@@ -12,7 +12,7 @@
 import {ControlMachine, createClaimLimits} from '../state/control-machine.js';
 
 /** Entries between snapshots. */
-const snapshotEvery = 5000;
+const snapshotIntervalEntries = 5000;
 
 /** What a running log consists of. */
 export type RunningLog = {node: LogNode; machine: ControlMachine; store: ConfigurationStore};
@@ -55,7 +55,7 @@
 		send,
 		persist: async write => journal.persist(write),
 		clock: context.clock,
-		snapshotEvery,
+		snapshotIntervalEntries,
 		onFailure(thrown) {
 			context.logger.error({err: thrown}, `storage failed, this instance takes no further part: ${describeError(thrown)}`);
 			onFailure();
--- a/packages/mastvalve-control/src/server/start-control.ts
+++ b/packages/mastvalve-control/src/server/start-control.ts
@@ -104,8 +104,8 @@
 		return server.map(running => {
 			this.registerMetrics();
 			context.timeline.record('program.started', `control listens on ${running.address}`);
-			if (this.journal.cutBytes > 0) {
-				context.timeline.record('journal.cut', `${this.journal.cutBytes} bytes of a torn last record were cut`);
+			if (this.journal.truncatedBytes > 0) {
+				context.timeline.record('journal.cut', `${this.journal.truncatedBytes} bytes of a torn last record were cut`);
 			}
 
 			void this.run();
@@ -177,7 +177,7 @@
 				await waitFor(formationPauseMs, signal);
 			} else {
 				// eslint-disable-next-line no-await-in-loop
-				await this.journal.form(step.clusterId, step.initialVoters);
+				await this.journal.recordCluster(step.clusterId, step.initialVoters);
 				this.options.context.timeline.record('log.formed', `${step.kind} of cluster ${step.clusterId} as ${this.ownId}`);
 			}
 		}
@@ -222,7 +222,7 @@
 		[
 			{name: 'mastvalve_commit_index', help: 'Last committed index of the replicated log', read: (parts: ControlParts) => parts.node.replica.commitIndex},
 			{name: 'mastvalve_term', help: 'Term of the replicated log', read: (parts: ControlParts) => parts.node.replica.term},
-			{name: 'mastvalve_is_leader', help: '1 when this instance leads with a valid lease', read: (parts: ControlParts) => Number(parts.node.isFresh())},
+			{name: 'mastvalve_is_leader', help: '1 when this instance leads with a valid lease', read: (parts: ControlParts) => Number(parts.node.hasLinearizableState())},
 			{name: 'mastvalve_claims', help: 'Claims kept', read: (parts: ControlParts) => parts.machine.claimCount},
 			{name: 'mastvalve_configuration_revision', help: 'Revision in force', read: (parts: ControlParts) => parts.store.revision},
 		].forEach(({name, help, read}) => {
@@ -233,7 +233,7 @@
 	private async drain(server: RunningServer): Promise<void> {
 		const {context} = this.options;
 		context.timeline.record('program.draining', 'control hands over and stops');
-		if (this.parts?.node.isFresh()) {
+		if (this.parts?.node.hasLinearizableState()) {
 			this.parts.node.transferLeadership();
 			await waitFor(handOverMs);
 		}
--- a/packages/mastvalve-control/src/state/commands.ts
+++ b/packages/mastvalve-control/src/state/commands.ts
@@ -2,7 +2,7 @@
  * Commands of the replicated log.
  */
 
-import type {ClaimEnd, ClaimRequest} from 'mastvalve-claims';
+import type {ClaimCompletion, ClaimRequest} from 'mastvalve-claims';
 import type {JoinRequest} from 'mastvalve-http';
 import type {EndpointState, Intent, Placement} from 'mastvalve-types';
 
@@ -33,7 +33,7 @@
 	| {kind: CommandKind.Place; placements: Placement[]}
 	| {kind: CommandKind.RecordLoaded; proof: LoadProof}
 	| {kind: CommandKind.BeginClaim; claim: ClaimRequest}
-	| {kind: CommandKind.FinishClaim; end: ClaimEnd}
+	| {kind: CommandKind.FinishClaim; end: ClaimCompletion}
 );
 
 /** A command without what the proposer adds. */
--- a/packages/mastvalve-control/src/state/control-machine.ts
+++ b/packages/mastvalve-control/src/state/control-machine.ts
@@ -38,7 +38,7 @@
 };
 
 /** Limits of claims. */
-export const createClaimLimits = (retentionMs: number): ClaimLimits => ({retentionMs, maxAheadMs: 300_000, maxClaims: 1_000_000});
+export const createClaimLimits = (retentionMs: number): ClaimLimits => ({retentionMs, maxIssuedAheadMs: 300_000, maxClaims: 1_000_000});
 
 /** No stated plan has this id. */
 export class UnknownPlanError extends MastvalveError {
--- a/packages/mastvalve-proofs/__tests__/claims.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/claims.proofs.ts
@@ -47,7 +47,7 @@
 	scenario: 'a key\'s call runs at most once, whoever asks again and however late',
 	twin,
 	run: async (variant, run) => checkProperty(stepsArbitrary, steps => {
-		const limits = {retentionMs, maxAheadMs: 100, maxClaims: 100};
+		const limits = {retentionMs, maxIssuedAheadMs: 100, maxClaims: 100};
 		const rules = {...defaultClaimRules, ...(variant === Variant.Broken ? broken : {})};
 		let table = new ClaimTable(limits, rules);
 		const issuedAt = new Map<string, number>();
--- a/packages/mastvalve-proofs/__tests__/cluster-model.ts
+++ b/packages/mastvalve-proofs/__tests__/cluster-model.ts
@@ -277,7 +277,7 @@
 		node.missedMs += this.time - node.suspendedAt;
 		node.suspendedAt = undefined;
 		if (!this.options.trustsSteadyClock) {
-			node.replica?.distrustPast(this.clockOf(node));
+			node.replica?.invalidateContacts(this.clockOf(node));
 		}
 	}
 
@@ -328,8 +328,8 @@
 		}
 
 		this.pool.push(...effects.messages);
-		if (effects.restore) {
-			node.appliedIndex = effects.restore.index;
+		if (effects.snapshotToRestore) {
+			node.appliedIndex = effects.snapshotToRestore.index;
 		}
 
 		effects.committed.forEach(entry => {
@@ -353,7 +353,7 @@
 
 	/** A read that is given as fresh must show all that anybody was told is committed. */
 	private read(node: Node): void {
-		const isFresh = node.suspendedAt === undefined && node.replica?.isFresh(this.clockOf(node)) === true;
+		const isFresh = node.suspendedAt === undefined && node.replica?.hasReadLease(this.clockOf(node)) === true;
 		if (isFresh && node.appliedIndex < this.acknowledged) {
 			throw new Error(`${node.name} read index ${node.appliedIndex} as fresh after ${this.acknowledged} was acknowledged`);
 		}
@@ -375,7 +375,7 @@
 
 	private changeMembership(node: Node): void {
 		const {replica} = node;
-		if (node.suspendedAt !== undefined || !replica?.isFresh(this.clockOf(node))) {
+		if (node.suspendedAt !== undefined || !replica?.hasReadLease(this.clockOf(node))) {
 			return;
 		}
 
--- a/packages/mastvalve-proofs/__tests__/crashing-files.ts
+++ b/packages/mastvalve-proofs/__tests__/crashing-files.ts
@@ -57,7 +57,7 @@
 		};
 	}
 
-	async cut(name: string, size: number): Promise<void> {
+	async truncate(name: string, size: number): Promise<void> {
 		this.spend();
 		const bytes = (this.volatile.get(name) ?? new Uint8Array()).subarray(0, size);
 		this.volatile.set(name, bytes);
@@ -76,7 +76,7 @@
 		this.volatile.delete(name);
 	}
 
-	async syncFolder(): Promise<void> {
+	async syncDirectory(): Promise<void> {
 		this.spend();
 		if (this.doesSync) {
 			this.durable = new Map([...this.volatile].map(([name, bytes]) => {
--- a/packages/mastvalve-proofs/__tests__/log.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/log.proofs.ts
@@ -161,7 +161,7 @@
 	),
 };
 
-const outliveElections: ReplicaRules['leaseEnd'] = (acknowledgedAt, times) => acknowledgedAt + (times.electionTimeoutMs * 20);
+const outliveElections: ReplicaRules['computeLeaseEnd'] = (acknowledgedAt, times) => acknowledgedAt + (times.electionTimeoutMs * 20);
 
 /** The proofs. */
 export const logProofs: Proof[] = [
@@ -170,19 +170,19 @@
 		failure: 'loss, delay, repeats, reordering, crashes, cuts, freezes, lost disks',
 		scenario: 'no two replicas ever apply different entries (3 replicas)',
 		twin: 'any log may be voted for',
-	}, {broken: {rules: {isLogCurrent: () => true}}}),
+	}, {broken: {rules: {isLogUpToDate: () => true}}}),
 	createClusterProof({
 		property: Property.Configuration,
 		failure: 'split elections, repeated votes, restarts',
 		scenario: 'one leader a term (5 replicas)',
 		twin: 'a second vote in a term is given',
-	}, {broken: {rules: {mayVote: () => true}}, size: 5, episode: splitElectionEpisode}),
+	}, {broken: {rules: {mayGrantVote: () => true}}, size: 5, episode: splitElectionEpisode}),
 	createClusterProof({
 		property: Property.Configuration,
 		failure: 'a leader that is cut off or frozen and still believes that it leads',
 		scenario: 'a fresh read shows all that was acknowledged',
 		twin: 'the lease outlives the election timeout',
-	}, {broken: {rules: {leaseEnd: outliveElections}}, weights: isolationSteps, episode: isolationEpisode}),
+	}, {broken: {rules: {computeLeaseEnd: outliveElections}}, weights: isolationSteps, episode: isolationEpisode}),
 	createClusterProof({
 		property: Property.Configuration,
 		failure: 'a leader that is suspended, for which no time goes by meanwhile',
@@ -206,6 +206,6 @@
 		failure: 'a leader hands over while messages are lost and late',
 		scenario: 'no acknowledged change is lost and no stale read is given by a leader that hands over',
 		twin: 'the lease outlives the hand-over\'s election, and any log may be voted for',
-	}, {broken: {rules: {isLogCurrent: () => true, leaseEnd: outliveElections}}, weights: without(keptDisks, StepKind.Crash)}),
+	}, {broken: {rules: {isLogUpToDate: () => true, computeLeaseEnd: outliveElections}}, weights: without(keptDisks, StepKind.Crash)}),
 	journalProof,
 ];
--- a/packages/mastvalve-replication/src/effects.ts
+++ b/packages/mastvalve-replication/src/effects.ts
@@ -22,7 +22,7 @@
 	write: DurableWrite | undefined;
 	messages: Message[];
 	/** A snapshot that the state machine must be set to, before `committed`. */
-	restore: Snapshot | undefined;
+	snapshotToRestore: Snapshot | undefined;
 	/** Entries to apply, in order. */
 	committed: LogEntry[];
 };
--- a/packages/mastvalve-replication/src/entry-size.ts
+++ b/packages/mastvalve-replication/src/entry-size.ts
@@ -8,14 +8,14 @@
 const known = new WeakMap<LogEntry, number>();
 
 /** Length of an entry as JSON, characters. */
-export const estimateEntry = (entry: LogEntry): number => {
+export const estimateEntrySize = (entry: LogEntry): number => {
 	const size = known.get(entry) ?? JSON.stringify(entry).length;
 	known.set(entry, size);
 	return size;
 };
 
 /** The first items whose sizes sum up to at most `limit`; at least one, when there is any. */
-export const takeWithin = <T>(items: readonly T[], sizeOf: (item: T) => number, limit: number): T[] => {
+export const takeUpToSize = <T>(items: readonly T[], sizeOf: (item: T) => number, limit: number): T[] => {
 	let sum = 0;
 	const end = items.findIndex((item, index) => {
 		sum += sizeOf(item);
--- a/packages/mastvalve-replication/src/file-system.ts
+++ b/packages/mastvalve-replication/src/file-system.ts
@@ -22,11 +22,11 @@
 	read: (name: string) => Promise<Uint8Array>;
 	openForAppend: (name: string) => Promise<AppendFile>;
 	/** Cuts a file to `size` bytes and syncs it. */
-	cut: (name: string, size: number) => Promise<void>;
+	truncate: (name: string, size: number) => Promise<void>;
 	rename: (from: string, to: string) => Promise<void>;
 	remove: (name: string) => Promise<void>;
 	/** Makes renames and removals durable. */
-	syncFolder: () => Promise<void>;
+	syncDirectory: () => Promise<void>;
 };
 
 /** The files of this machine. */
@@ -46,7 +46,7 @@
 			close: async () => handle.close(),
 		};
 	},
-	async cut(name, size) {
+	async truncate(name, size) {
 		await truncate(join(folder, name), size);
 		const handle = await open(join(folder, name), 'r+');
 		await handle.sync();
@@ -54,7 +54,7 @@
 	},
 	rename: async (from, to) => rename(join(folder, from), join(folder, to)),
 	remove: async name => unlink(join(folder, name)),
-	async syncFolder() {
+	async syncDirectory() {
 		const handle = await open(folder, 'r');
 		await handle.sync();
 		await handle.close();
--- a/packages/mastvalve-replication/src/journal.ts
+++ b/packages/mastvalve-replication/src/journal.ts
@@ -68,7 +68,7 @@
 	number: number;
 	header: JournalHeader;
 	writes: DurableWrite[];
-	cutBytes: number;
+	truncatedBytes: number;
 	/** Bytes of whole records. */
 	size: number;
 };
@@ -90,7 +90,7 @@
 		await removeOlder(files, names, number);
 		const file = await files.openForAppend(name);
 		return new Journal({
-			files, file, number, header, writes: content.writes, cutBytes: content.totalBytes - content.validBytes, size: content.validBytes,
+			files, file, number, header, writes: content.writes, truncatedBytes: content.totalBytes - content.validBytes, size: content.validBytes,
 		});
 	}
 
@@ -99,13 +99,13 @@
 		await files.list();
 		const {file, size} = await writeWhole(files, 0, header, {append: []});
 		return new Journal({
-			files, file, number: 0, header, writes: [], cutBytes: 0, size,
+			files, file, number: 0, header, writes: [], truncatedBytes: 0, size,
 		});
 	}
 
 	readonly restored: RestoredState;
 	/** Bytes of a torn last record that were cut. */
-	readonly cutBytes: number;
+	readonly truncatedBytes: number;
 	header: JournalHeader;
 	private readonly files: FileSystem;
 	private file: AppendFile;
@@ -123,11 +123,11 @@
 		this.size = parts.size;
 		this.header = parts.header;
 		this.restored = replayWrites(parts.writes);
-		this.cutBytes = parts.cutBytes;
+		this.truncatedBytes = parts.truncatedBytes;
 	}
 
 	/** Whether compacting it would make it much smaller. */
-	get isLarge(): boolean {
+	get needsCompaction(): boolean {
 		return this.size > Math.max(minLargeBytes, largeFactor * this.compactedSize);
 	}
 
@@ -142,7 +142,7 @@
 		}
 
 		if (this.isTailDirty) {
-			await this.files.cut(formatName(this.number), this.size);
+			await this.files.truncate(formatName(this.number), this.size);
 		}
 
 		const record = encodeRecord(write);
@@ -154,7 +154,7 @@
 	}
 
 	/** Records which log this replica belongs to; before that, it holds only its identity. */
-	async form(clusterId: string, initialVoters: string[]): Promise<void> {
+	async recordCluster(clusterId: string, initialVoters: string[]): Promise<void> {
 		this.header = {...this.header, clusterId, initialVoters};
 		await this.compact({append: []});
 	}
@@ -190,13 +190,13 @@
 	await file.append(writeRecord);
 	await file.sync();
 	await files.rename(temporary, formatName(number));
-	await files.syncFolder();
+	await files.syncDirectory();
 	return {file, size: headerRecord.length + writeRecord.length};
 };
 
 const cutTornTail = async (files: FileSystem, name: string, content: JournalContent): Promise<void> => {
 	if (content.validBytes < content.totalBytes) {
-		await files.cut(name, content.validBytes);
+		await files.truncate(name, content.validBytes);
 	}
 };
 
--- a/packages/mastvalve-replication/src/log-node.ts
+++ b/packages/mastvalve-replication/src/log-node.ts
@@ -10,7 +10,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {DurableWrite, Effects} from './effects.js';
 import {EntryKind, type LogEntry} from './log-entry.js';
-import {nameOfReplica, type Membership} from './membership.js';
+import {getInstanceName, type Membership} from './membership.js';
 import type {Message} from './message.js';
 import type {Replica} from './replica.js';
 import {Role} from './replica-core.js';
@@ -32,9 +32,9 @@
 	machine: StateMachine;
 	clock: Clock;
 	/** Entries after which a snapshot is taken. */
-	snapshotEvery: number;
+	snapshotIntervalEntries: number;
 	/** Whether storage has so much behind its last snapshot that one is due earlier. */
-	isStorageLarge?: () => boolean;
+	needsCompaction?: () => boolean;
 	/** Called once when storage failed; the node takes no further part. */
 	onFailure: (thrown: unknown) => void;
 	/** Called when the instance seems to have been suspended, or its time of day was set forward. */
@@ -77,22 +77,22 @@
 	/** Instance name of the leader, as far as it is known here. */
 	get leaderName(): string | undefined {
 		const {leader} = this.options.replica;
-		return leader === undefined ? undefined : nameOfReplica(leader);
+		return leader === undefined ? undefined : getInstanceName(leader);
 	}
 
 	/** Whether the applied state may be read as linearizable at this moment. */
-	isFresh(): boolean {
-		return !this.stopped && this.isLeading() && this.appliedIndex >= this.options.replica.commitIndex;
+	hasLinearizableState(): boolean {
+		return !this.stopped && this.hasReadLease() && this.appliedIndex >= this.options.replica.commitIndex;
 	}
 
 	/** Whether this one leads with a valid lease, whether or not it has applied all. */
-	isLeading(): boolean {
-		return this.options.replica.isFresh(this.readClock());
+	hasReadLease(): boolean {
+		return this.options.replica.hasReadLease(this.readClock());
 	}
 
 	/** When this one last heard from the leader, in the clock's ms; undefined without one. */
-	leaderHeardAt(): number | undefined {
-		return this.options.replica.leaderHeardAt(this.readClock());
+	leaderContactAt(): number | undefined {
+		return this.options.replica.leaderContactAt(this.readClock());
 	}
 
 	/** Proposes a command and waits until it is applied. */
@@ -143,7 +143,7 @@
 		const {clock, replica, onSuspended} = this.options;
 		const now = clock.now();
 		if (this.suspension.hasJumped()) {
-			replica.distrustPast(now);
+			replica.invalidateContacts(now);
 			onSuspended?.();
 		}
 
@@ -215,10 +215,10 @@
 	}
 
 	private applyEffects(effects: Effects): void {
-		if (effects.restore) {
-			this.options.machine.restoreSnapshot(effects.restore.data, effects.restore.index);
-			this.appliedIndex = effects.restore.index;
-			this.snapshotIndex = effects.restore.index;
+		if (effects.snapshotToRestore) {
+			this.options.machine.restoreSnapshot(effects.snapshotToRestore.data, effects.snapshotToRestore.index);
+			this.appliedIndex = effects.snapshotToRestore.index;
+			this.snapshotIndex = effects.snapshotToRestore.index;
 		}
 
 		effects.committed.forEach(entry => {
@@ -258,7 +258,7 @@
 	}
 
 	private snapshotIfDue(): void {
-		const {replica, machine, snapshotEvery, isStorageLarge} = this.options;
+		const {replica, machine, snapshotIntervalEntries: snapshotEvery, needsCompaction: isStorageLarge} = this.options;
 		const entries = this.appliedIndex - this.snapshotIndex;
 		if (entries >= snapshotEvery || (entries > 0 && isStorageLarge?.())) {
 			this.snapshotIndex = this.appliedIndex;
--- a/packages/mastvalve-replication/src/membership-planner.ts
+++ b/packages/mastvalve-replication/src/membership-planner.ts
@@ -6,7 +6,7 @@
  */
 
 import {
-	addLearner, nameOfReplica, promoteLearner, removeReplica, type Membership, type ReplicaId,
+	addLearner, getInstanceName, promoteLearner, removeReplica, type Membership, type ReplicaId,
 } from './membership.js';
 
 /** Bounds of the planner. */
@@ -14,21 +14,21 @@
 	/** Voters that are wanted; more are only taken in while there is no bound. */
 	maxVoters: number;
 	/** Whether a replica has not answered for so long that another one may take its place. */
-	isSilent: (id: ReplicaId) => boolean;
+	isUnresponsive: (id: ReplicaId) => boolean;
 };
 
 /** Every replica that joins becomes a voter, and none gives way but to its own next identity. */
-export const unbounded: MembershipBounds = {maxVoters: Number.POSITIVE_INFINITY, isSilent: () => false};
+export const unboundedMembership: MembershipBounds = {maxVoters: Number.POSITIVE_INFINITY, isUnresponsive: () => false};
 
 const hasNewerIdentity = (ids: readonly ReplicaId[]) => (id: ReplicaId, index: number): boolean =>
-	ids.slice(index + 1).some(other => nameOfReplica(other) === nameOfReplica(id));
+	ids.slice(index + 1).some(other => getInstanceName(other) === getInstanceName(id));
 
 /** The next membership, or undefined when nothing is to be done. */
 export const planNextMembership = (
 	membership: Membership,
 	joining: readonly ReplicaId[],
 	isCaughtUp: (id: ReplicaId) => boolean,
-	{maxVoters, isSilent}: MembershipBounds = unbounded,
+	{maxVoters, isUnresponsive: isSilent}: MembershipBounds = unboundedMembership,
 ): Membership | undefined => {
 	const {voters, learners} = membership;
 	const known = new Set([...voters, ...learners]);
@@ -37,9 +37,9 @@
 	const replaced = voters.find(hasNewerIdentity(voters));
 	const ready = learners.find(id => isCaughtUp(id) && !isSilent(id));
 	const isFull = voters.length >= maxVoters;
-	const takenNames = new Set(learners.map(nameOfReplica));
+	const takenNames = new Set(learners.map(getInstanceName));
 	// A voter whose machine came back with an empty disk can never vote again; it gives way first.
-	const replaceable = voters.find(id => takenNames.has(nameOfReplica(id))) ?? voters.find(isSilent);
+	const replaceable = voters.find(id => takenNames.has(getInstanceName(id))) ?? voters.find(isSilent);
 	if (replaced) {
 		return removeReplica(membership, replaced);
 	}
--- a/packages/mastvalve-replication/src/membership.ts
+++ b/packages/mastvalve-replication/src/membership.ts
@@ -18,7 +18,7 @@
 export const formatReplicaId = (name: string, disk: string): ReplicaId => `${name}#${disk}`;
 
 /** The instance name in an identity. */
-export const nameOfReplica = (id: ReplicaId): string => id.split('#', 1)[0] ?? id;
+export const getInstanceName = (id: ReplicaId): string => id.split('#', 1)[0] ?? id;
 
 /** How many voters make a majority. */
 export const quorumSize = (membership: Membership): number => Math.floor(membership.voters.length / 2) + 1;
--- a/packages/mastvalve-replication/src/replica-core.ts
+++ b/packages/mastvalve-replication/src/replica-core.ts
@@ -43,7 +43,7 @@
 	leader: ReplicaId | undefined;
 	commitIndex: number;
 	/** When this replica last became leader, in the clock given to it. */
-	ledSince = Number.NEGATIVE_INFINITY;
+	leaderSince = Number.NEGATIVE_INFINITY;
 
 	readonly times: ReplicaTimes;
 	readonly rules: ReplicaRules;
@@ -53,12 +53,12 @@
 	hardState: HardState;
 	membership: Membership;
 
-	electionAt = 0;
-	heartbeatAt = 0;
+	nextElectionAt = 0;
+	nextHeartbeatAt = 0;
 	/** No vote is given before this time: a leader may hold a lease on our silence. */
-	quietUntil: number;
+	votesWithheldUntil: number;
 	/** What was heard up to then doesn't count for leases, in the clock given to the core; it may have stood still at that moment. */
-	trustedFrom = Number.NEGATIVE_INFINITY;
+	contactsValidAfter = Number.NEGATIVE_INFINITY;
 	votes = new Set<ReplicaId>();
 	progress = new Map<ReplicaId, Progress>();
 	termStartIndex = 0;
@@ -68,7 +68,7 @@
 	pendingWrite: DurableWrite = {append: []};
 	hasWrite = false;
 	messages: Message[] = [];
-	restore: Snapshot | undefined;
+	snapshotToRestore: Snapshot | undefined;
 
 	constructor(options: ReplicaOptions) {
 		this.id = options.id;
@@ -82,8 +82,8 @@
 		this.commitIndex = options.restored.snapshot?.index ?? 0;
 		this.emittedIndex = this.commitIndex;
 		// Before a restart we may have acknowledged a heartbeat on which a lease still rests.
-		const quietSince = options.quietSince ?? options.now;
-		this.quietUntil = quietSince + options.times.electionTimeoutMs;
+		const quietSince = options.processStartedAt ?? options.now;
+		this.votesWithheldUntil = quietSince + options.times.electionTimeoutMs;
 		this.resetElectionTimer(quietSince);
 	}
 
@@ -150,16 +150,16 @@
 
 	/** Draws the time of the next election. */
 	resetElectionTimer(now: number): void {
-		this.electionAt = now + (this.times.electionTimeoutMs * (1 + this.random()));
+		this.nextElectionAt = now + (this.times.electionTimeoutMs * (1 + this.random()));
 	}
 
 	/** All members but this one. */
-	others(): ReplicaId[] {
+	otherReplicas(): ReplicaId[] {
 		return [...this.membership.voters, ...this.membership.learners].filter(id => id !== this.id);
 	}
 
 	/** What this leader knows of another replica. */
-	progressOf(id: ReplicaId): Progress {
+	getProgress(id: ReplicaId): Progress {
 		const known = this.progress.get(id);
 		if (known) {
 			return known;
--- a/packages/mastvalve-replication/src/replica-election.ts
+++ b/packages/mastvalve-replication/src/replica-election.ts
@@ -5,7 +5,7 @@
 import {quorumSize} from './membership.js';
 import {MessageKind, type VoteRequest, type VoteResponse} from './message.js';
 import {Role, type ReplicaCore} from './replica-core.js';
-import {becomeLeader, leaseEnd} from './replica-leadership.js';
+import {becomeLeader, computeLeaseEnd} from './replica-leadership.js';
 
 const responseKind = (kind: VoteRequest['kind']): VoteResponse['kind'] =>
 	(kind === MessageKind.PreVoteRequest ? MessageKind.PreVoteResponse : MessageKind.VoteResponse);
@@ -52,7 +52,7 @@
 
 /** Whether a vote would break a lease that may rest on our silence. */
 export const isDisruptive = (core: ReplicaCore, message: VoteRequest, now: number): boolean => {
-	const quietUntil = core.role === Role.Leader ? leaseEnd(core, now) : core.quietUntil;
+	const quietUntil = core.role === Role.Leader ? computeLeaseEnd(core, now) : core.votesWithheldUntil;
 	return !message.transfer && now < quietUntil;
 };
 
@@ -64,10 +64,10 @@
 /** Grants a vote to a candidate whose log is complete enough, once in a term. */
 export const handleVoteRequest = (core: ReplicaCore, message: VoteRequest, now: number): void => {
 	const isPreVote = message.kind === MessageKind.PreVoteRequest;
-	const isCurrent = core.rules.isLogCurrent(message, {lastIndex: core.lastIndex, lastTerm: core.log.lastTerm});
+	const isCurrent = core.rules.isLogUpToDate(message, {lastIndex: core.lastIndex, lastTerm: core.log.lastTerm});
 	const isAllowed = isPreVote
 		? message.term > core.term
-		: message.term === core.term && core.rules.mayVote(core.hardState.votedFor, message.from);
+		: message.term === core.term && core.rules.mayGrantVote(core.hardState.votedFor, message.from);
 	const granted = isCurrent && isAllowed;
 	if (granted && !isPreVote) {
 		core.setHardState({term: core.term, votedFor: message.from});
--- a/packages/mastvalve-replication/src/replica-following.ts
+++ b/packages/mastvalve-replication/src/replica-following.ts
@@ -15,13 +15,13 @@
 
 	core.role = Role.Follower;
 	core.leader = message.from;
-	core.quietUntil = now + core.times.electionTimeoutMs;
+	core.votesWithheldUntil = now + core.times.electionTimeoutMs;
 	core.resetElectionTimer(now);
 	return true;
 };
 
 /** Takes entries that fit behind the own ones; otherwise tells where the logs part. */
-export const handleAppend = (core: ReplicaCore, message: AppendRequest, now: number): void => {
+export const handleAppendRequest = (core: ReplicaCore, message: AppendRequest, now: number): void => {
 	if (!acceptLeader(core, message, now)) {
 		return;
 	}
@@ -69,7 +69,7 @@
 };
 
 /** Takes a snapshot in place of the log when it is ahead of what is committed here. */
-export const handleSnapshot = (core: ReplicaCore, message: SnapshotRequest, now: number): void => {
+export const handleSnapshotRequest = (core: ReplicaCore, message: SnapshotRequest, now: number): void => {
 	if (!acceptLeader(core, message, now)) {
 		return;
 	}
@@ -80,7 +80,7 @@
 		core.membership = core.log.membershipAt();
 		core.commitIndex = snapshot.index;
 		core.emittedIndex = snapshot.index;
-		core.restore = snapshot;
+		core.snapshotToRestore = snapshot;
 		core.pendingWrite = {snapshot, append: [], hardState: core.hardState};
 		core.hasWrite = true;
 	}
--- a/packages/mastvalve-replication/src/replica-leadership.ts
+++ b/packages/mastvalve-replication/src/replica-leadership.ts
@@ -3,7 +3,7 @@
  * (Ongaro's thesis, 2014, sections 3.5, 3.6 and 6.4.1).
  */
 
-import {estimateEntry, takeWithin} from './entry-size.js';
+import {estimateEntrySize, takeUpToSize} from './entry-size.js';
 import {EntryKind, type LogEntry} from './log-entry.js';
 import {quorumValue, type ReplicaId} from './membership.js';
 import {MessageKind, type AppendResponse} from './message.js';
@@ -21,12 +21,12 @@
 export const becomeLeader = (core: ReplicaCore, now: number): void => {
 	core.role = Role.Leader;
 	core.leader = core.id;
-	core.ledSince = now;
+	core.leaderSince = now;
 	core.transferringUntil = undefined;
 	core.progress = new Map();
 	core.termStartIndex = core.lastIndex + 1;
 	// A new leader has this long to hear from a majority before it steps down.
-	core.electionAt = now + (2 * core.times.electionTimeoutMs);
+	core.nextElectionAt = now + (2 * core.times.electionTimeoutMs);
 	appendAsLeader(core, {index: core.termStartIndex, term: core.term, kind: EntryKind.NoOp});
 	broadcast(core, now);
 };
@@ -38,22 +38,22 @@
 		return;
 	}
 
-	const heardAt = quorumValue(core.membership, id => (id === core.id ? now : core.progressOf(id).acknowledgedAt));
+	const heardAt = quorumValue(core.membership, id => (id === core.id ? now : core.getProgress(id).acknowledgedAt));
 	const isAlone = now - heardAt > 2 * core.times.electionTimeoutMs;
-	if (isAlone && now >= core.electionAt) {
+	if (isAlone && now >= core.nextElectionAt) {
 		core.becomeFollower(core.term, now);
-	} else if (now >= core.heartbeatAt) {
+	} else if (now >= core.nextHeartbeatAt) {
 		broadcast(core, now);
 	}
 };
 
 /** Until when no other replica can lead, in the clock given to the core. */
-export const leaseEnd = (core: ReplicaCore, now: number): number => {
+export const computeLeaseEnd = (core: ReplicaCore, now: number): number => {
 	const acknowledgedAt = quorumValue(core.membership, id => {
-		const at = id === core.id ? now : core.progressOf(id).acknowledgedAt;
-		return at <= core.trustedFrom ? Number.NEGATIVE_INFINITY : at;
+		const at = id === core.id ? now : core.getProgress(id).acknowledgedAt;
+		return at <= core.contactsValidAfter ? Number.NEGATIVE_INFINITY : at;
 	});
-	return core.rules.leaseEnd(acknowledgedAt, core.times);
+	return core.rules.computeLeaseEnd(acknowledgedAt, core.times);
 };
 
 /** Appends one entry; it goes out with the next flush or heartbeat. */
@@ -64,15 +64,15 @@
 };
 
 const broadcast = (core: ReplicaCore, now: number): void => {
-	core.heartbeatAt = now + core.times.heartbeatMs;
-	core.others().forEach(id => {
+	core.nextHeartbeatAt = now + core.times.heartbeatMs;
+	core.otherReplicas().forEach(id => {
 		sendEntries(core, id, now);
 	});
 };
 
 /** Sends what another replica lacks, or the snapshot when that is not here any more. */
 export const sendEntries = (core: ReplicaCore, to: ReplicaId, now: number): void => {
-	const progress = core.progressOf(to);
+	const progress = core.getProgress(to);
 	const prevIndex = progress.nextIndex - 1;
 	const prevTerm = core.log.termAt(prevIndex);
 	if (prevTerm === undefined) {
@@ -80,7 +80,7 @@
 		return;
 	}
 
-	const entries = takeWithin(core.log.read(progress.nextIndex, maxEntriesPerMessage), estimateEntry, maxBytesPerMessage);
+	const entries = takeUpToSize(core.log.read(progress.nextIndex, maxEntriesPerMessage), estimateEntrySize, maxBytesPerMessage);
 	progress.nextIndex += entries.length;
 	core.send({
 		kind: MessageKind.AppendRequest, to, prevIndex, prevTerm, entries, commit: core.commitIndex, sentAt: now,
@@ -105,7 +105,7 @@
 		return;
 	}
 
-	const progress = core.progressOf(message.from);
+	const progress = core.getProgress(message.from);
 	progress.acknowledgedAt = Math.max(progress.acknowledgedAt, message.sentAt);
 	if (!message.success) {
 		// After a cut, all that waited for the link is refused at once. Sending what is missing for each of them carried it 56
@@ -129,7 +129,7 @@
 };
 
 const advanceCommit = (core: ReplicaCore): void => {
-	const index = quorumValue(core.membership, id => (id === core.id ? core.lastIndex : core.progressOf(id).matchIndex));
+	const index = quorumValue(core.membership, id => (id === core.id ? core.lastIndex : core.getProgress(id).matchIndex));
 	if (index > core.commitIndex && core.rules.mayCommit(core.log.termAt(index) ?? 0, core.term)) {
 		core.commitIndex = index;
 		stepDownIfRemoved(core);
--- a/packages/mastvalve-replication/src/replica-options.ts
+++ b/packages/mastvalve-replication/src/replica-options.ts
@@ -24,24 +24,24 @@
  */
 export type ReplicaRules = {
 	/** Whether a candidate's log is complete enough to be voted for. */
-	isLogCurrent: (candidate: {lastIndex: number; lastTerm: number}, own: {lastIndex: number; lastTerm: number}) => boolean;
+	isLogUpToDate: (candidate: {lastIndex: number; lastTerm: number}, own: {lastIndex: number; lastTerm: number}) => boolean;
 	/** Whether a second vote in a term may be given. */
-	mayVote: (votedFor: ReplicaId | undefined, candidate: ReplicaId) => boolean;
+	mayGrantVote: (votedFor: ReplicaId | undefined, candidate: ReplicaId) => boolean;
 	/** Whether an entry that a majority holds may be committed by counting. */
 	mayCommit: (entryTerm: number, currentTerm: number) => boolean;
 	/** Until when the lease holds, from the time at which a majority was last sent what it has acknowledged. */
-	leaseEnd: (acknowledgedAt: number, times: ReplicaTimes) => number;
+	computeLeaseEnd: (acknowledgedAt: number, times: ReplicaTimes) => number;
 	/** Whether a leader with an uncommitted membership may append another one. */
 	mayChangeMembership: (hasUncommittedMembership: boolean) => boolean;
 };
 
 /** Raft's rules (Ongaro and Ousterhout, 2014, and Ongaro's thesis). */
 export const defaultReplicaRules: ReplicaRules = {
-	isLogCurrent: (candidate, own) =>
+	isLogUpToDate: (candidate, own) =>
 		candidate.lastTerm > own.lastTerm || (candidate.lastTerm === own.lastTerm && candidate.lastIndex >= own.lastIndex),
-	mayVote: (votedFor, candidate) => votedFor === undefined || votedFor === candidate,
+	mayGrantVote: (votedFor, candidate) => votedFor === undefined || votedFor === candidate,
 	mayCommit: (entryTerm, currentTerm) => entryTerm === currentTerm,
-	leaseEnd: (acknowledgedAt, times) => acknowledgedAt + (times.electionTimeoutMs * (1 - times.maxClockDrift)),
+	computeLeaseEnd: (acknowledgedAt, times) => acknowledgedAt + (times.electionTimeoutMs * (1 - times.maxClockDrift)),
 	mayChangeMembership: hasUncommittedMembership => !hasUncommittedMembership,
 };
 
@@ -68,7 +68,7 @@
 	 * The latest time at which a former life of this replica can have acknowledged anything, ms: the start of the process.
 	 * Votes and elections wait from then on. The time of the start of the replica when left out.
 	 */
-	quietSince?: number;
+	processStartedAt?: number;
 	/** Entries kept in memory behind a snapshot, for replicas that are a little behind. */
 	trailingEntries?: number;
 };
--- a/packages/mastvalve-replication/src/replica.ts
+++ b/packages/mastvalve-replication/src/replica.ts
@@ -15,9 +15,9 @@
 import {
 	handleVoteRequest, handleVoteResponse, isDisruptive, refuseVote, startElection, startPreVote,
 } from './replica-election.js';
-import {handleAppend, handleSnapshot} from './replica-following.js';
+import {handleAppendRequest, handleSnapshotRequest} from './replica-following.js';
 import {
-	appendAsLeader, handleAppendResponse, leaseEnd, sendEntries, tickLeader,
+	appendAsLeader, handleAppendResponse, computeLeaseEnd, sendEntries, tickLeader,
 } from './replica-leadership.js';
 import type {ReplicaOptions} from './replica-options.js';
 import type {Snapshot} from './snapshot.js';
@@ -47,8 +47,8 @@
 	}
 
 	/** When this replica last became leader, in the clock given to it. */
-	get ledSince(): number {
-		return this.core.ledSince;
+	get leaderSince(): number {
+		return this.core.leaderSince;
 	}
 
 	get term(): number {
@@ -75,15 +75,15 @@
 
 	/** When `tick` next has something to do, in the clock given to it. */
 	get nextTimerAt(): number {
-		return this.core.role === Role.Leader ? Math.min(this.core.heartbeatAt, this.core.transferringUntil ?? Number.POSITIVE_INFINITY) : this.core.electionAt;
+		return this.core.role === Role.Leader ? Math.min(this.core.nextHeartbeatAt, this.core.transferringUntil ?? Number.POSITIVE_INFINITY) : this.core.nextElectionAt;
 	}
 
 	/** Whether reads of committed state are linearizable at this moment. */
-	isFresh(now: number): boolean {
+	hasReadLease(now: number): boolean {
 		return this.core.role === Role.Leader
 			&& this.core.commitIndex >= this.core.termStartIndex
 			&& this.core.transferringUntil === undefined
-			&& now < leaseEnd(this.core, now);
+			&& now < computeLeaseEnd(this.core, now);
 	}
 
 	/** Whether a learner has all that is committed and answers. */
@@ -95,22 +95,22 @@
 	}
 
 	/** When this replica last heard from the leader that it follows; undefined without one. */
-	leaderHeardAt(now: number): number | undefined {
+	leaderContactAt(now: number): number | undefined {
 		if (this.core.role === Role.Leader) {
-			return this.isFresh(now) ? now : undefined;
+			return this.hasReadLease(now) ? now : undefined;
 		}
 
-		const heardAt = this.core.quietUntil - this.core.times.electionTimeoutMs;
-		return this.core.leader === undefined || heardAt <= this.core.trustedFrom ? undefined : heardAt;
+		const heardAt = this.core.votesWithheldUntil - this.core.times.electionTimeoutMs;
+		return this.core.leader === undefined || heardAt <= this.core.contactsValidAfter ? undefined : heardAt;
 	}
 
 	/**
 	 * What was heard up to `now` may be older than the clock says: leases and what was heard of a leader begin anew. The clock may have stood still at this very
 	 * moment, so a heartbeat that counts must be sent at a later one.
 	 */
-	distrustPast(now: number): void {
-		this.core.trustedFrom = now;
-		this.core.heartbeatAt = Math.min(this.core.heartbeatAt, now + 1);
+	invalidateContacts(now: number): void {
+		this.core.contactsValidAfter = now;
+		this.core.nextHeartbeatAt = Math.min(this.core.nextHeartbeatAt, now + 1);
 	}
 
 	/** When another replica last answered this leader; 0 or less when it never did. */
@@ -122,7 +122,7 @@
 	tick(now: number): void {
 		if (this.core.role === Role.Leader) {
 			tickLeader(this.core, now);
-		} else if (now >= this.core.electionAt && this.core.membership.voters.includes(this.core.id)) {
+		} else if (now >= this.core.nextElectionAt && this.core.membership.voters.includes(this.core.id)) {
 			startPreVote(this.core, now);
 		}
 	}
@@ -153,7 +153,7 @@
 	/** Sends what waits to all others; called once after a batch of proposals. */
 	flush(now: number): void {
 		if (this.core.role === Role.Leader) {
-			this.core.others().filter(id => this.core.progressOf(id).nextIndex <= this.core.lastIndex).forEach(id => {
+			this.core.otherReplicas().filter(id => this.core.getProgress(id).nextIndex <= this.core.lastIndex).forEach(id => {
 				sendEntries(this.core, id, now);
 			});
 		}
@@ -161,9 +161,9 @@
 
 	/** Hands leadership to the voter that is furthest along. The lease ends at once and for this term. */
 	transferLeadership(now: number): void {
-		const target = this.core.others()
+		const target = this.core.otherReplicas()
 			.filter(id => this.core.membership.voters.includes(id) && this.isCaughtUp(id, now))
-			.toSorted((a, b) => this.core.progressOf(b).matchIndex - this.core.progressOf(a).matchIndex)[0];
+			.toSorted((a, b) => this.core.getProgress(b).matchIndex - this.core.getProgress(a).matchIndex)[0];
 		if (this.core.role === Role.Leader && target) {
 			this.core.transferringUntil = now + (2 * this.core.times.electionTimeoutMs);
 			this.core.send({kind: MessageKind.TimeoutNow, to: target});
@@ -216,7 +216,7 @@
 			}
 
 			case MessageKind.AppendRequest: {
-				handleAppend(this.core, message, now);
+				handleAppendRequest(this.core, message, now);
 				break;
 			}
 
@@ -226,7 +226,7 @@
 			}
 
 			case MessageKind.SnapshotRequest: {
-				handleSnapshot(this.core, message, now);
+				handleSnapshotRequest(this.core, message, now);
 				break;
 			}
 
@@ -245,13 +245,13 @@
 		const effects: Effects = {
 			write: this.core.hasWrite ? this.core.pendingWrite : undefined,
 			messages: this.core.messages,
-			restore: this.core.restore,
+			snapshotToRestore: this.core.snapshotToRestore,
 			committed,
 		};
 		this.core.pendingWrite = {append: []};
 		this.core.hasWrite = false;
 		this.core.messages = [];
-		this.core.restore = undefined;
+		this.core.snapshotToRestore = undefined;
 		return effects;
 	}
 }
