--- a/packages/mastvalve-cluster/__tests__/control-group.steps.ts
+++ b/packages/mastvalve-cluster/__tests__/control-group.steps.ts
@@ -37,7 +37,7 @@
 	const client = new PeerClient();
 	const ending = new AbortController();
 	const directory = new ControlDirectory({
-		address, isFirstStart, readSeeds: () => world.seeds, client, clock: systemClock, listKnown: () => [], onError: () => undefined,
+		address, isFirstStart, readSeeds: () => world.seeds, client, clock: systemClock, listKnownAddresses: () => [], onError: () => undefined,
 	});
 	const listening = await startPeerServer(address, new Map(directory.handlers()), () => undefined);
 	void directory.run(ending.signal);
@@ -63,7 +63,7 @@
 		dataFolder: folder,
 		isFirstStart,
 		readSeeds: () => world.seeds,
-		voters,
+		voterCount: voters,
 		client,
 		clock: systemClock,
 		machine: {
@@ -131,7 +131,7 @@
 		// Lets the change be appended, so that its write is under way.
 		await Promise.resolve();
 		await Promise.resolve();
-		const read = await group.readFresh();
+		const read = await group.waitUntilFresh();
 		const proposed = await proposing;
 		assert.equal(proposed.isOk(), true);
 		assert.equal(read.isOk(), true);
@@ -168,7 +168,7 @@
 
 Then('the instances without a log know where it is kept', async function (this: GroupWorld) {
 	const addresses = this.members.map(({address}) => address).toSorted();
-	await waitUntil('all are known', async () => this.guides.every(({directory}) => JSON.stringify(directory?.listKeepers().toSorted()) === JSON.stringify(addresses)));
+	await waitUntil('all are known', async () => this.guides.every(({directory}) => JSON.stringify(directory?.listControlAddresses().toSorted()) === JSON.stringify(addresses)));
 });
 
 Given('an instance without a log at its first start', async function (this: GroupWorld) {
@@ -183,7 +183,7 @@
 	await ids.reduce<Promise<void>>(async (before, id) => {
 		await before;
 		await client.call({
-			address, path: '/announce', body: {id, mayBegin: true}, silenceMs: 1000,
+			address, path: '/announce', body: {id, mayBegin: true}, idleTimeoutMs: 1000,
 		});
 	}, Promise.resolve());
 	client.close();
@@ -192,7 +192,7 @@
 const readFounder = async (address: string): Promise<string | undefined> => {
 	const client = new PeerClient();
 	const answer = await client.call<Identity>({
-		address, path: '/identify', body: {}, silenceMs: 1000,
+		address, path: '/identify', body: {}, idleTimeoutMs: 1000,
 	});
 	client.close();
 	return answer._unsafeUnwrap().founder;
@@ -216,7 +216,7 @@
 });
 
 Then('all of them become voters of one log', {timeout: 30_000}, async function (this: GroupWorld) {
-	await waitUntil('all are voters', async () => this.members.every(({group}) => group.isComplete && group.isCurrent));
+	await waitUntil('all are voters', async () => this.members.every(({group}) => group.hasAllVoters && group.isCurrent));
 });
 
 Then('a change that is proposed at any of them is applied at all of them', async function (this: GroupWorld) {
@@ -232,7 +232,7 @@
 
 Then('it is a voter again under a new identity, and has all changes', {timeout: 30_000}, async function (this: GroupWorld) {
 	const last = this.members.at(-1)!;
-	await waitUntil('the new identity votes', async () => this.members.every(({group}) => group.voters.includes(last.group.ownId) && group.isComplete));
+	await waitUntil('the new identity votes', async () => this.members.every(({group}) => group.voters.includes(last.group.ownId) && group.hasAllVoters));
 	await waitUntil('it has all changes', async () => hasAll(this, last));
 });
 
@@ -245,7 +245,7 @@
 
 Then('the newcomer takes its place and has all changes', {timeout: 30_000}, async function (this: GroupWorld) {
 	const newcomer = this.members.at(-1)!;
-	await waitUntil('the newcomer votes', async () => this.members.every(({group}) => group.voters.includes(newcomer.group.ownId) && group.isComplete));
+	await waitUntil('the newcomer votes', async () => this.members.every(({group}) => group.voters.includes(newcomer.group.ownId) && group.hasAllVoters));
 	await propose(this, newcomer, 'last-change');
 	await waitUntil('all have all changes', async () => this.members.every(member => hasAll(this, member)));
 });
@@ -327,7 +327,7 @@
 
 const callSilent = async ({guides, guideAddress}: GroupWorld): Promise<boolean> => {
 	const answer = await guides[0]!.client.call({
-		address: guideAddress, path: '/any', body: {}, silenceMs: silenceMs * 3,
+		address: guideAddress, path: '/any', body: {}, idleTimeoutMs: silenceMs * 3,
 	});
 	return answer.isOk();
 };
@@ -386,7 +386,7 @@
 		dataFolder: folder,
 		isFirstStart: true,
 		readSeeds: () => world.seeds,
-		voters: 1,
+		voterCount: 1,
 		client,
 		clock: systemClock,
 		machine: {
@@ -479,7 +479,7 @@
 });
 
 const callSlowPeer = async ({guides, guideAddress}: GroupWorld, silenceMs: number) => guides[0]!.client.call<number>({
-	address: guideAddress, path: '/any', body: {}, silenceMs,
+	address: guideAddress, path: '/any', body: {}, idleTimeoutMs: silenceMs,
 });
 
 Then('a call that allows {int} ms of silence gets the whole answer', async function (this: SlowPeerWorld, silenceMs: number) {
--- a/packages/mastvalve-cluster/src/membership/control-directory.ts
+++ b/packages/mastvalve-cluster/src/membership/control-directory.ts
@@ -26,7 +26,7 @@
 	client: PeerClient;
 	clock: Clock;
 	/** Addresses of control instances that are known otherwise; while there are any, nobody is asked. */
-	listKnown: () => string[];
+	listKnownAddresses: () => string[];
 	onError: (message: string) => void;
 };
 
@@ -48,8 +48,8 @@
 	}
 
 	/** Addresses of control instances. */
-	listKeepers(): string[] {
-		const known = this.options.listKnown();
+	listControlAddresses(): string[] {
+		const known = this.options.listKnownAddresses();
 		return known.length > 0 ? known : this.keepers;
 	}
 
@@ -78,7 +78,7 @@
 			clusterId: undefined,
 			initialVoters: [],
 			mayBegin: false,
-			peers: [...new Set([...this.listKeepers(), ...this.announcements.listAddresses()])],
+			peers: [...new Set([...this.listControlAddresses(), ...this.announcements.listAddresses()])],
 			founder: this.founder,
 		};
 	}
@@ -91,7 +91,7 @@
 	}
 
 	private async look(): Promise<void> {
-		if (this.options.listKnown().length > 0) {
+		if (this.options.listKnownAddresses().length > 0) {
 			return;
 		}
 
--- a/packages/mastvalve-cluster/src/membership/control-group-options.ts
+++ b/packages/mastvalve-cluster/src/membership/control-group-options.ts
@@ -16,7 +16,7 @@
 	/** Members to ask first; may change. */
 	readSeeds: () => string[];
 	/** How many voters are wanted: 2n + 1 bear the loss of n. */
-	voters: number;
+	voterCount: number;
 	machine: StateMachine;
 	client: PeerClient;
 	clock: Clock;
--- a/packages/mastvalve-cluster/src/membership/control-group.ts
+++ b/packages/mastvalve-cluster/src/membership/control-group.ts
@@ -73,7 +73,7 @@
 	}
 
 	/** Addresses of all members. */
-	get members(): string[] {
+	get memberAddresses(): string[] {
 		const membership = this.node?.replica.currentMembership;
 		return membership ? [...new Set([...membership.voters, ...membership.learners].map(getInstanceName))] : [];
 	}
@@ -103,8 +103,8 @@
 	}
 
 	/** Whether as many voters hold the log as are wanted. */
-	get isComplete(): boolean {
-		return this.voters.length >= this.options.voters;
+	get hasAllVoters(): boolean {
+		return this.voters.length >= this.options.voterCount;
 	}
 
 	/**
@@ -118,7 +118,7 @@
 	}
 
 	/** How current this instance is, in words, for whoever was refused because it isn't. */
-	describeAge(): string {
+	describeFreshness(): string {
 		const {clock} = this.options;
 		const now = clock.now();
 		const heardAt = this.node?.leaderContactAt();
@@ -171,7 +171,7 @@
 	}
 
 	/** Hands leadership over, so that a planned stop costs no election. */
-	async handOver(): Promise<void> {
+	async transferLeadership(): Promise<void> {
 		if (this.isLeading) {
 			this.node?.transferLeadership();
 			await waitFor(groupTimes.heartbeatMs * 2);
@@ -190,7 +190,7 @@
 	}
 
 	/** Waits until all is applied here that was committed anywhere when it was called. */
-	async readFresh(): Promise<Result<true, MastvalveError>> {
+	async waitUntilFresh(): Promise<Result<true, MastvalveError>> {
 		return this.leader.readFresh();
 	}
 
@@ -207,7 +207,7 @@
 			clusterId: header.clusterId,
 			initialVoters: header.initialVoters,
 			mayBegin: this.mayBegin,
-			peers: [...new Set([...this.members, ...this.announcements.listAddresses()])],
+			peers: [...new Set([...this.memberAddresses, ...this.announcements.listAddresses()])],
 			founder: undefined,
 		};
 	}
@@ -218,7 +218,7 @@
 
 	/** Asks everyone who may know the group. */
 	private async askOthers(): Promise<Identity[]> {
-		this.search.learn([...this.members, ...this.announcements.listAddresses()]);
+		this.search.learn([...this.memberAddresses, ...this.announcements.listAddresses()]);
 		return this.search.ask();
 	}
 
@@ -242,9 +242,9 @@
 	}
 
 	private createDuty(node: LogNode): MembershipDuty {
-		const {clock, voters, onEvent} = this.options;
+		const {clock, voterCount, onEvent} = this.options;
 		return new MembershipDuty({
-			ownId: this.ownId, node, search: this.search, announcements: this.announcements, clock, voters, isCurrent: () => this.isCurrent, listMembers: () => this.members, onEvent,
+			ownId: this.ownId, node, search: this.search, announcements: this.announcements, clock, voterCount, isCurrent: () => this.isCurrent, listMembers: () => this.memberAddresses, onEvent,
 		});
 	}
 }
--- a/packages/mastvalve-cluster/src/membership/leader-access.ts
+++ b/packages/mastvalve-cluster/src/membership/leader-access.ts
@@ -74,7 +74,7 @@
 		}
 
 		return this.options.client.call<T>({
-			address, path, body, silenceMs: callSilenceMs,
+			address, path, body, idleTimeoutMs: callSilenceMs,
 		});
 	}
 
--- a/packages/mastvalve-cluster/src/membership/membership-duty.ts
+++ b/packages/mastvalve-cluster/src/membership/membership-duty.ts
@@ -16,7 +16,7 @@
 	announcements: Announcements;
 	clock: Clock;
 	/** How many voters are wanted. */
-	voters: number;
+	voterCount: number;
 	/** Whether this instance hears a leader. */
 	isCurrent: () => boolean;
 	/** Addresses of all members. */
@@ -47,14 +47,14 @@
 
 	/** The leader's part: one change at a time. */
 	async changeMembership(): Promise<void> {
-		const {ownId, node, announcements, clock, voters, onEvent} = this.options;
+		const {ownId, node, announcements, clock, voterCount, onEvent} = this.options;
 		const now = clock.now();
 		if (!node.hasLinearizableState() || node.replica.hasUncommittedMembership) {
 			return;
 		}
 
 		const next = planNextMembership(node.replica.currentMembership, announcements.listJoining(), id => node.replica.isCaughtUp(id, now), {
-			maxVoters: voters,
+			maxVoters: voterCount,
 			isUnresponsive: id => id !== ownId && now - Math.max(node.replica.acknowledgedAt(id), node.replica.leaderSince) > silentMs,
 		});
 		if (next) {
--- a/packages/mastvalve-cluster/src/membership/peer-search.ts
+++ b/packages/mastvalve-cluster/src/membership/peer-search.ts
@@ -46,7 +46,7 @@
 	/** Asks all others who they are, and learns of those whom they name. */
 	async ask(): Promise<Identity[]> {
 		const answers = await Promise.all(this.listOthers().map(async address => this.options.client.call<Identity>({
-			address, path: '/identify', body: {}, silenceMs: callSilenceMs,
+			address, path: '/identify', body: {}, idleTimeoutMs: callSilenceMs,
 		})));
 		const identities = answers.flatMap(answer => (answer.isOk() ? [answer.value] : []));
 		this.learn(identities.flatMap(({peers}) => peers));
@@ -56,7 +56,7 @@
 	/** Tells all others that an instance wants to join. */
 	async announce(announcement: Announcement): Promise<void> {
 		await Promise.all(this.listOthers().map(async address => this.options.client.call({
-			address, path: '/announce', body: announcement, silenceMs: callSilenceMs,
+			address, path: '/announce', body: announcement, idleTimeoutMs: callSilenceMs,
 		})));
 	}
 }
--- a/packages/mastvalve-cluster/src/peer/log-transport.ts
+++ b/packages/mastvalve-cluster/src/peer/log-transport.ts
@@ -54,7 +54,7 @@
 			// One call after the other keeps the order. A lost one is not sent again: the log's own timers do that.
 			// eslint-disable-next-line no-await-in-loop
 			await this.client.call({
-				address, path: '/log', body, silenceMs: callSilenceMs,
+				address, path: '/log', body, idleTimeoutMs: callSilenceMs,
 			});
 		}
 
--- a/packages/mastvalve-cluster/src/peer/peer-client.ts
+++ b/packages/mastvalve-cluster/src/peer/peer-client.ts
@@ -36,7 +36,7 @@
 	path: string;
 	body: unknown;
 	/** Longest time without a byte from or to the peer, ms; the whole may take longer. */
-	silenceMs: number;
+	idleTimeoutMs: number;
 	signal?: AbortSignal;
 };
 
@@ -49,7 +49,7 @@
 	 * limit is on silence, not on the whole: a limit on the whole is one that a large answer on a slow link never keeps, so
 	 * it would be begun again and again.
 	 */
-	async call<T>({address, path, body, silenceMs, signal}: PeerCall): Promise<Result<T, PeerError>> {
+	async call<T>({address, path, body, idleTimeoutMs, signal}: PeerCall): Promise<Result<T, PeerError>> {
 		return new Promise(resolve => {
 			let received = 0;
 			const {bytes, headers} = encodeBody(body);
@@ -57,8 +57,8 @@
 			const req = request({
 				host, port, path, method: 'POST', agent: this.agent, signal, headers,
 			});
-			const watch = new SilenceWatch(silenceMs, () => {
-				req.destroy(new Error(`nothing moved for ${silenceMs} ms after ${received} bytes of an answer`));
+			const watch = new SilenceWatch(idleTimeoutMs, () => {
+				req.destroy(new Error(`nothing moved for ${idleTimeoutMs} ms after ${received} bytes of an answer`));
 				dropIdleConnections(this.agent, address);
 			});
 			const done = (result: Result<T, PeerError>): void => {
--- a/packages/mastvalve-cluster/src/peer/silence-watch.ts
+++ b/packages/mastvalve-cluster/src/peer/silence-watch.ts
@@ -7,9 +7,9 @@
 export class SilenceWatch {
 	private readonly timer: NodeJS.Timeout;
 
-	/** Calls `onSilent` once when `silenceMs` have passed since the start or the last byte. */
-	constructor(silenceMs: number, onSilent: () => void) {
-		this.timer = setTimeout(onSilent, silenceMs);
+	/** Calls `onSilent` once when `idleTimeoutMs` have passed since the start or the last byte. */
+	constructor(idleTimeoutMs: number, onSilent: () => void) {
+		this.timer = setTimeout(onSilent, idleTimeoutMs);
 	}
 
 	/** Some byte has moved. */
--- a/packages/mastvalve-fakes/src/fleet/single-control.ts
+++ b/packages/mastvalve-fakes/src/fleet/single-control.ts
@@ -26,7 +26,7 @@
 			dataFolder: folder,
 			isFirstStart: true,
 			readSeeds: () => [address],
-			voters: 1,
+			voterCount: 1,
 			client,
 			clock: systemClock,
 			heartbeatMs,
--- a/packages/mastvalve-fleet-control/__tests__/sure-moment.steps.ts
+++ b/packages/mastvalve-fleet-control/__tests__/sure-moment.steps.ts
@@ -19,7 +19,7 @@
 			get isLeading() {
 				return isLeading;
 			},
-			async readFresh() {
+			async waitUntilFresh() {
 				throw new Error('the tests answer themselves');
 			},
 		},
--- a/packages/mastvalve-fleet-control/src/control-node.ts
+++ b/packages/mastvalve-fleet-control/src/control-node.ts
@@ -15,7 +15,7 @@
 	/** Whether the loss of this instance counts towards the tolerated failures; only such an instance may store the log. */
 	isLossCounted: boolean;
 	/** Lists control instances known from other sources, nearest first. */
-	listKnown: () => string[];
+	listKnownAddresses: () => string[];
 	/** Returns the address of the log's leader, if the program knows it. */
 	readLeader: () => string | undefined;
 };
@@ -33,7 +33,7 @@
 
 	constructor(private readonly options: ControlNodeOptions) {
 		this.directory = this.hasLog ? undefined : new ControlDirectory(options);
-		this.forwarded = new ForwardedControl({client: options.client, listLogInstances: () => this.directory?.listKeepers() ?? options.listKnown()});
+		this.forwarded = new ForwardedControl({client: options.client, listLogInstances: () => this.directory?.listControlAddresses() ?? options.listKnownAddresses()});
 		this.addHandlers(this.directory?.handlers() ?? []);
 	}
 
@@ -58,12 +58,12 @@
 	 * late. Undefined if this instance stores the log, or knows no instance that does.
 	 */
 	findRedirectTarget(): string | undefined {
-		return this.hasLog ? undefined : this.options.readLeader() ?? this.directory?.listKeepers()[0];
+		return this.hasLog ? undefined : this.options.readLeader() ?? this.directory?.listControlAddresses()[0];
 	}
 
 	/** Lists the addresses that provide the state of the fleet: this instance first if it stores the log, then others. */
 	listSources(): string[] {
-		const own = this.hasLog ? [this.options.address] : this.directory?.listKeepers() ?? [];
+		const own = this.hasLog ? [this.options.address] : this.directory?.listControlAddresses() ?? [];
 		return [...own, ...this.options.readSeeds().filter(address => address !== this.options.address)];
 	}
 
--- a/packages/mastvalve-fleet-control/src/fleet-control.ts
+++ b/packages/mastvalve-fleet-control/src/fleet-control.ts
@@ -153,7 +153,7 @@
 
 	/** Transfers leadership, so that a planned stop causes no election. */
 	async transferLeadership(): Promise<void> {
-		await this.group.handOver();
+		await this.group.transferLeadership();
 	}
 
 	/** Transfers leadership, then stops. */
@@ -168,7 +168,7 @@
 	async configure(stated: StatedConfiguration): Promise<Result<number, MastvalveError>> {
 		const current = this.machine.configuration?.configuration.version;
 		const isWithinGrace = this.options.clock.now() - this.startedAt < incompleteGraceMs;
-		if (current === undefined && isWithinGrace && !this.group.isComplete) {
+		if (current === undefined && isWithinGrace && !this.group.hasAllVoters) {
 			return err(new ControlUnavailableError('The control instances have not all found each other yet.'));
 		}
 
@@ -187,7 +187,7 @@
 
 	/** Returns the newest configuration; an error if this instance can't confirm that it is the newest. */
 	async readConfiguration(): Promise<Result<StatedConfiguration | undefined, MastvalveError>> {
-		const fresh = await this.group.readFresh();
+		const fresh = await this.group.waitUntilFresh();
 		return fresh.map(() => this.machine.configuration);
 	}
 
--- a/packages/mastvalve-fleet-control/src/follow-service.ts
+++ b/packages/mastvalve-fleet-control/src/follow-service.ts
@@ -34,7 +34,7 @@
 	/** Responds to a follower: immediately if it lacks changes, otherwise at the next change or after the wait. */
 	async follow({place, waitMs, mustBeNewest}: FollowRequest, signal: AbortSignal): Promise<Result<FollowResponse, MastvalveError>> {
 		const receivedAt = this.options.clock.now();
-		const fresh = mustBeNewest ? await this.readFreshWithRetry(Math.min(waitMs, maxFollowWaitMs), signal) : ok(true);
+		const fresh = mustBeNewest ? await this.waitUntilFreshWithRetry(Math.min(waitMs, maxFollowWaitMs), signal) : ok(true);
 		if (fresh.isErr()) {
 			return err(fresh.error);
 		}
@@ -49,7 +49,7 @@
 
 		await this.waitUntilCurrent(signal);
 		if (!this.options.group.isCurrent || this.options.shutdownSignal.aborted) {
-			return err(new ControlUnavailableError(`This control instance may not know the newest state: ${this.options.group.describeAge()}.`));
+			return err(new ControlUnavailableError(`This control instance may not know the newest state: ${this.options.group.describeFreshness()}.`));
 		}
 
 		return this.options.machine.isBehind(place)
@@ -68,19 +68,19 @@
 		const {machine, group, freshness} = this.options;
 		const confirmedAt = freshness.read();
 		return {
-			update: machine.changesSince(place), members: group.members, leader: group.leaderAddress, sureAfterMs: confirmedAt === undefined ? undefined : confirmedAt - receivedAt,
+			update: machine.changesSince(place), members: group.memberAddresses, leader: group.leaderAddress, sureAfterMs: confirmedAt === undefined ? undefined : confirmedAt - receivedAt,
 		};
 	}
 
 	/** Waits for a leader that can confirm the newest state: repeated requests would delay a starting entry more than the wait. */
-	private async readFreshWithRetry(ms: number, signal: AbortSignal): Promise<Result<unknown, MastvalveError>> {
+	private async waitUntilFreshWithRetry(ms: number, signal: AbortSignal): Promise<Result<unknown, MastvalveError>> {
 		const endAt = this.options.clock.now() + ms;
-		let fresh: Result<unknown, MastvalveError> = await this.options.group.readFresh();
+		let fresh: Result<unknown, MastvalveError> = await this.options.group.waitUntilFresh();
 		while (fresh.isErr() && this.options.clock.now() < endAt && !signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
 			await waitFor(leaderPollMs, signal);
 			// eslint-disable-next-line no-await-in-loop
-			fresh = await this.options.group.readFresh();
+			fresh = await this.options.group.waitUntilFresh();
 		}
 
 		return fresh;
--- a/packages/mastvalve-fleet-control/src/forwarded-control.ts
+++ b/packages/mastvalve-fleet-control/src/forwarded-control.ts
@@ -52,7 +52,7 @@
 			return result.isOk()
 				? result
 				: this.options.client.call<T>({
-					address, path: call, body, silenceMs: callTimeoutMs,
+					address, path: call, body, idleTimeoutMs: callTimeoutMs,
 				});
 		}, Promise.resolve(none));
 	}
--- a/packages/mastvalve-fleet-control/src/freshness-tracker.ts
+++ b/packages/mastvalve-fleet-control/src/freshness-tracker.ts
@@ -9,7 +9,7 @@
 import {repeatUntilAborted, SuspensionWatch, type Clock} from 'mastvalve-utils';
 
 export type FreshnessTrackerOptions = {
-	group: Pick<ControlGroup, 'isLeading' | 'readFresh'>;
+	group: Pick<ControlGroup, 'isLeading' | 'waitUntilFresh'>;
 	clock: Clock;
 	onError: (thrown: unknown) => void;
 };
@@ -49,7 +49,7 @@
 
 	private async renew(): Promise<void> {
 		const queriedAt = this.options.clock.now();
-		const fresh = await this.options.group.readFresh();
+		const fresh = await this.options.group.waitUntilFresh();
 		if (fresh.isOk()) {
 			this.recordConfirmed(queriedAt);
 		}
--- a/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
+++ b/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
@@ -47,7 +47,7 @@
 		}
 
 		const answer = await this.client.call<DemandResponse>({
-			address, path: '/demand', body: demand.takeReport(), silenceMs, signal,
+			address, path: '/demand', body: demand.takeReport(), idleTimeoutMs: silenceMs, signal,
 		});
 		this.entries = answer.isOk() ? answer.value.entries : this.entries;
 		return answer.isOk();
--- a/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
@@ -89,7 +89,7 @@
 		this.asking = asking;
 		const askedAt = now();
 		const answer = await client.call<FollowResponse>({
-			address, path: '/follow', silenceMs, signal: AbortSignal.any([signal, asking.signal]), body: {place: view.place, waitMs, mustBeNewest},
+			address, path: '/follow', idleTimeoutMs: silenceMs, signal: AbortSignal.any([signal, asking.signal]), body: {place: view.place, waitMs, mustBeNewest},
 		});
 		if (answer.isErr() && asking.signal.aborted) {
 			return;
--- a/packages/mastvalve-gateway/src/limits/limit-leader-client.ts
+++ b/packages/mastvalve-gateway/src/limits/limit-leader-client.ts
@@ -59,7 +59,7 @@
 		}
 
 		const response = await client.call<LimitResponse>({
-			address, path: '/limits', body: request, silenceMs: silenceTimeoutMs, signal,
+			address, path: '/limits', body: request, idleTimeoutMs: silenceTimeoutMs, signal,
 		});
 		return response.isOk() ? response.value : undefined;
 	}
--- a/packages/mastvalve-gateway/src/quarantine/crash-reporter.ts
+++ b/packages/mastvalve-gateway/src/quarantine/crash-reporter.ts
@@ -60,7 +60,7 @@
 		const answer = address === undefined
 			? undefined
 			: await client.call({
-				address, path: '/crashes', body: reports, silenceMs, signal,
+				address, path: '/crashes', body: reports, idleTimeoutMs: silenceMs, signal,
 			});
 		if (answer?.isOk()) {
 			this.waiting = this.waiting.filter(report => !reports.includes(report));
