--- a/packages/mastvalve-gateway/__tests__/gateway.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/gateway.steps.ts
@@ -183,7 +183,7 @@
 	caller.send('/unsafe/first');
 	await waitUntil('the first answer has begun', async () => caller.text().includes('ha'));
 	const drained = gateway.drain(0);
-	await waitUntil('the entry takes no more', async () => !gateway.isTaking);
+	await waitUntil('the entry takes no more', async () => !gateway.isAccepting);
 	caller.send('/unsafe/second');
 	await waitUntil('the second request is there', async () => gateway.inFlight === 2);
 	releases.splice(0).forEach(release => {
--- a/packages/mastvalve-gateway/src/server/gateway-core.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-core.ts
@@ -1,5 +1,5 @@
 /**
- * What all requests of a gateway work on.
+ * Dependencies shared by all requests of a gateway.
  */
 
 import type {Clock} from 'mastvalve-utils';
@@ -18,10 +18,9 @@
 import type {UpstreamAgent} from '../upstream/upstream-agent.js';
 import type {GatewayObserver} from './gateway-observer.js';
 
-/** Writes one line for a decision; the fields say what decided it. */
+/** Logs a decision; the fields hold its grounds. */
 export type LogDecision = (kind: string, fields: Record<string, unknown>) => void;
 
-/** Shared by all requests. */
 export type GatewayCore = {
 	failureDomain: string;
 	clock: Clock;
@@ -29,7 +28,7 @@
 	dialect: Dialect;
 	view: FleetView;
 	tracker: EndpointTracker;
-	/** Requests that wait for endpoints which restrict what they take. */
+	/** Requests that wait for capacity of endpoints with a limit or a backoff. */
 	waiters: CapacityWaiters;
 	agent: UpstreamAgent;
 	access: AccessChecker;
@@ -42,8 +41,8 @@
 	crashDetector: CrashWatch;
 	log: LogDecision;
 	observer: GatewayObserver;
-	/** Whether this entry is about to stop. */
+	/** Whether this entry is shutting down. */
 	isDraining: () => boolean;
-	/** Called when it begins to stop. */
+	/** Called when the shutdown begins. */
 	drainListeners: Set<() => void>;
 };
--- a/packages/mastvalve-gateway/src/server/gateway-metrics.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-metrics.ts
@@ -7,23 +7,23 @@
 } from 'prom-client';
 import type {GatewayObserver} from './gateway-observer.js';
 
-/** Bounds of the latency histograms, s: from a plain call to the longest route. */
+/** Buckets of the latency histograms, s: from a plain call to the longest route. */
 const buckets = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6];
 const msPerSecond = 1000;
 
-/** Registers the metrics; the result feeds them. */
+/** Registers the metrics and returns the observer that updates them. */
 export const createGatewayMetrics = (registry: Registry, readInFlight: () => number): GatewayObserver => {
 	const requests = new Histogram({
-		name: 'mastvalve_request_seconds', help: 'Time from the first byte of a request to the end of its answer', labelNames: ['kind', 'status'], buckets, registers: [registry],
+		name: 'mastvalve_request_seconds', help: 'Time from the first byte of a request to the end of its response', labelNames: ['kind', 'status'], buckets, registers: [registry],
 	});
 	const attempts = new Counter({
 		name: 'mastvalve_attempts_total', help: 'Attempts at endpoints by outcome', labelNames: ['outcome'], registers: [registry],
 	});
 	const refusals = new Counter({
-		name: 'mastvalve_refusals_total', help: 'Callers that were not let in, by reason', labelNames: ['reason'], registers: [registry],
+		name: 'mastvalve_refusals_total', help: 'Requests refused on admission, by reason', labelNames: ['reason'], registers: [registry],
 	});
 	const permits = new Counter({
-		name: 'mastvalve_limited_endpoint_requests_total', help: 'Requests for a permit at endpoints that have named a limit, by outcome', labelNames: ['outcome'], registers: [registry],
+		name: 'mastvalve_limited_endpoint_requests_total', help: 'Permit requests for endpoints with an announced limit, by outcome', labelNames: ['outcome'], registers: [registry],
 	});
 	const backoffs = new Counter({
 		name: 'mastvalve_endpoint_backoffs_total', help: 'Refusals of endpoints that asked this entry to back off', registers: [registry],
--- a/packages/mastvalve-gateway/src/server/gateway-node.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-node.ts
@@ -1,5 +1,5 @@
 /**
- * An entry with all its parts: it serves callers, follows control, and tells control's leader what it sees.
+ * Composition root of an entry: serves callers, follows control, and reports demand and endpoint crashes to it.
  */
 
 import type {PeerClient} from 'mastvalve-cluster';
@@ -28,7 +28,6 @@
 import type {GatewayObserver} from './gateway-observer.js';
 import {Gateway} from './gateway.js';
 
-/** What an entry is made from. */
 export type GatewayNodeOptions = {
 	/** Name of the instance. */
 	instance: string;
@@ -38,18 +37,17 @@
 	clock: Clock;
 	random: () => number;
 	log: LogDecision;
-	/** Control instances to ask besides those that an answer has named. */
+	/** Lists configured addresses of control instances, in addition to those that responses have named. */
 	listSources: () => string[];
-	/** Lower is nearer. */
+	/** Distance to an address; lower is nearer. */
 	distanceTo: (address: string) => number;
 	retries: RetryLimits;
-	/** Longest time for which a key may be served after it was taken away, ms; undefined when there is no such bound. */
+	/** Longest time for which a key may still be accepted after its revocation, ms; undefined for no bound. */
 	keyRevocationMs: number | undefined;
-	/** Window in which the limits of workspaces are counted, ms. */
+	/** Accounting window of workspace limits, ms. */
 	limitWindowMs: number;
 };
 
-/** The entry. */
 export class GatewayNode {
 	readonly view: FleetView;
 	readonly follower: FleetFollower;
@@ -59,7 +57,7 @@
 	private readonly demand: ModelDemand;
 	private readonly crashReporter: CrashReporter;
 	private readonly upstream = new UpstreamAgent();
-	private readonly ending = new AbortController();
+	private readonly shutdown = new AbortController();
 
 	constructor(options: GatewayNodeOptions) {
 		const {
@@ -76,7 +74,7 @@
 			clock,
 			keyRevocationMs,
 			onSuspended: () => {
-				onEvent('keys.doubted', 'time has gone by that the steady clock did not count, or the time of day was set: control is asked anew');
+				onEvent('keys.doubted', 'the monotonic clock has missed elapsed time, or the wall clock was set: requesting fresh key evidence from control');
 				this.follower.hurry();
 			},
 		});
@@ -105,9 +103,9 @@
 		});
 		forgetGoneEndpoints(this.view, tracker, this.demand);
 		const limits = new LimitClient({
-			// Another life of the entry has another history.
+			// The random suffix separates the claim history of this process from that of an earlier one.
 			entry: `${instance} ${random()}`,
-			client, readLeader: () => this.follower.leader, readEntryCount: () => this.reporter.entries, random, now, windowMs: limitWindowMs, signal: this.ending.signal, wait: waitFor, onEvent,
+			client, readLeader: () => this.follower.leader, readEntryCount: () => this.reporter.entries, random, now, windowMs: limitWindowMs, signal: this.shutdown.signal, wait: waitFor, onEvent,
 		});
 		this.gateway = new Gateway({
 			failureDomain,
@@ -132,41 +130,41 @@
 		});
 	}
 
-	/** Whether the balancer may send callers here. */
+	/** Whether load balancers may route callers to this entry. */
 	get isReady(): boolean {
 		return this.view.isSynced && this.access.canJudge && this.view.configuration !== undefined && !this.gateway.isDraining;
 	}
 
-	/** Requests of callers in progress. */
+	/** Number of callers' requests in flight. */
 	get inFlight(): number {
 		return this.gateway.inFlight;
 	}
 
-	/** Tells an observer of all requests from now on. */
+	/** Replaces the observer; it receives the events of all later requests. */
 	observe(observer: GatewayObserver): void {
 		this.gateway.observe(observer);
 	}
 
-	/** Listens for callers on `ip:port`, and begins to follow control. */
+	/** Listens for callers on `ip:port` and starts to follow control. */
 	async start(listen: string): Promise<Result<true, MastvalveError>> {
 		const started = await this.gateway.start(listen);
 		if (started.isOk()) {
-			void this.follower.run(this.ending.signal);
-			void this.reporter.run(this.demand, this.ending.signal);
-			void this.crashReporter.run(this.ending.signal);
+			void this.follower.run(this.shutdown.signal);
+			void this.reporter.run(this.demand, this.shutdown.signal);
+			void this.crashReporter.run(this.shutdown.signal);
 		}
 
 		return started;
 	}
 
-	/** Takes requests for a while still, and ends when none is in progress. */
-	async stop(keepTakingMs: number): Promise<void> {
-		await this.gateway.drain(keepTakingMs);
-		this.ending.abort();
+	/** Accepts requests for another `acceptMs`, waits until none is in flight, then stops following control and closes connections to endpoints. */
+	async stop(acceptMs: number): Promise<void> {
+		await this.gateway.drain(acceptMs);
+		this.shutdown.abort();
 		this.upstream.destroy();
 	}
 
-	/** Control instances, the leader first. */
+	/** Lists the addresses of control instances, leader first, then by distance. */
 	private listControl(): string[] {
 		const {leader} = this.follower;
 		return [...new Set([...(leader === undefined ? [] : [leader]), ...this.follower.listMembers()])];
--- a/packages/mastvalve-gateway/src/server/gateway-observer.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-observer.ts
@@ -1,16 +1,16 @@
 /**
- * What a gateway tells of its work, for metrics. Durations in ms.
+ * Callbacks through which a gateway reports its work to metrics. Durations in ms.
  */
 
-/** The observer. */
+/** Receives the events of a gateway. */
 export type GatewayObserver = {
-	/** A request is over; status 0 when its answer was broken off or its caller left first. */
+	/** A request has ended; status 0 when its response was aborted or its caller disconnected first. */
 	recordRequest: (kind: string, status: number, durationMs: number) => void;
-	/** A caller was not let in, for this reason. */
+	/** A request was refused on admission. */
 	recordRefusal: (reason: string) => void;
-	/** An attempt at an endpoint is over. */
+	/** An attempt at an endpoint has ended. */
 	recordAttempt: (outcome: string) => void;
-	/** A permit was claimed at limited endpoints; whether there was one. */
+	/** A permit for limited endpoints was requested; `hasPermit` is whether one was granted. */
 	recordPermit: (hasPermit: boolean) => void;
 	/** An endpoint has refused a request and asked this entry to back off. */
 	recordBackoff: () => void;
@@ -18,8 +18,8 @@
 	recordWait: (isServed: boolean, durationMs: number) => void;
 };
 
-/** Takes note of nothing. */
-export const silentObserver: GatewayObserver = {
+/** Discards all events. */
+export const noopObserver: GatewayObserver = {
 	recordRequest: () => undefined,
 	recordRefusal: () => undefined,
 	recordAttempt: () => undefined,
--- a/packages/mastvalve-gateway/src/server/gateway.ts
+++ b/packages/mastvalve-gateway/src/server/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side of an entry: reads requests, finds their routes, and stops without cutting any.
+ * HTTP server for callers: reads requests, matches their routes, and shuts down without aborting any.
  */
 
 import {
@@ -15,44 +15,44 @@
 import {fingerprintRequest} from '../requests/request-fingerprint.js';
 import {Reply} from '../requests/reply.js';
 import {serveRequest} from '../requests/serve-request.js';
-import {onceOver} from './caller-presence.js';
 import type {GatewayCore} from './gateway-core.js';
-import {silentObserver, type GatewayObserver} from './gateway-observer.js';
-import {readBody} from './read-request.js';
+import {noopObserver, type GatewayObserver} from './gateway-observer.js';
+import {onceClosed} from './once-closed.js';
+import {readBody} from './read-body.js';
 import {waitForEvidence, waitUntilSynced} from './wait-for-control.js';
 
-/** Bounds until a configuration tells others; those for headers stay, since Node takes them when a server is made. */
-const firstLimits: CallerLimits = {
+/** Limits until a configuration is in force. Those for headers stay, since Node reads them when the server is created. */
+const defaultLimits: CallerLimits = {
 	maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000,
 };
-/** A caller whose own deadline has passed is gone; this bounds what it may ask for, ms. */
+/** Upper bound of a caller's own deadline, ms. Callers disconnect once theirs has passed. */
 const maxDeadlineMs = 120_000;
-/** Callers go elsewhere at once when this entry knows nothing yet. */
+/** Retry delay while this entry has no configuration, s: another entry can serve the request at once. */
 const unsyncedRetrySeconds = 0.5;
-/** The connection closes with the refusal, so the caller's next one leads to another entry, s. */
+/** Retry delay during shutdown, s: the refusal closes the connection, so the next one reaches another entry. */
 const stoppingRetrySeconds = 0.05;
 const drainPollMs = 50;
 
-/** What a gateway is made from. */
-export type GatewayParts = Omit<GatewayCore, 'isDraining' | 'drainListeners' | 'observer'>;
+/** Dependencies of a gateway. */
+export type GatewayDependencies = Omit<GatewayCore, 'isDraining' | 'drainListeners' | 'observer'>;
 
 /** The server for callers. */
 export class Gateway {
 	inFlight = 0;
 	isDraining = false;
-	/** Whether requests are still served; the last ones must end before the process is killed. */
-	isTaking = true;
+	/** Whether new requests are still served; the last ones must end before the process is killed. */
+	isAccepting = true;
 	private server: Server | undefined;
 
 	private readonly core: GatewayCore;
 
-	constructor(parts: GatewayParts) {
+	constructor(dependencies: GatewayDependencies) {
 		this.core = {
-			...parts, isDraining: () => this.isDraining, drainListeners: new Set(), observer: silentObserver,
+			...dependencies, isDraining: () => this.isDraining, drainListeners: new Set(), observer: noopObserver,
 		};
 	}
 
-	/** Tells an observer of all requests from now on. */
+	/** Replaces the observer; it receives the events of all later requests. */
 	observe(observer: GatewayObserver): void {
 		this.core.observer = observer;
 	}
@@ -61,15 +61,15 @@
 	async start(listen: string): Promise<Result<true, MastvalveError>> {
 		const [host, port] = listen.split(':');
 		const server = createServer({
-			maxHeaderSize: firstLimits.maxHeaderBytes, headersTimeout: firstLimits.headerTimeoutMs, requestTimeout: 0, keepAliveTimeout: firstLimits.idleTimeoutMs,
+			maxHeaderSize: defaultLimits.maxHeaderBytes, headersTimeout: defaultLimits.headerTimeoutMs, requestTimeout: 0, keepAliveTimeout: defaultLimits.idleTimeoutMs,
 		}, (req, res) => {
 			this.inFlight += 1;
-			const ending = new AbortController();
-			onceOver(req, res, () => {
+			const closed = new AbortController();
+			onceClosed(req, res, () => {
 				this.inFlight -= 1;
-				ending.abort();
+				closed.abort();
 			});
-			this.handle(req, res, ending).catch((error: unknown) => {
+			this.handle(req, res, closed).catch((error: unknown) => {
 				this.core.log('request.failed', {reason: describeError(error)});
 				res.destroy();
 			});
@@ -88,14 +88,14 @@
 		});
 	}
 
-	/** Takes requests for a while still, tells callers to reconnect, and ends when none is in progress. */
-	async drain(keepTakingMs: number): Promise<void> {
+	/** Accepts requests for another `acceptMs` with `connection: close`, then resolves once none is in flight. */
+	async drain(acceptMs: number): Promise<void> {
 		this.isDraining = true;
 		[...this.core.drainListeners].forEach(stopWaiting => {
 			stopWaiting();
 		});
-		await waitFor(keepTakingMs);
-		this.isTaking = false;
+		await waitFor(acceptMs);
+		this.isAccepting = false;
 		this.server?.close();
 		this.server?.closeIdleConnections();
 		while (this.inFlight > 0) {
@@ -106,10 +106,10 @@
 	}
 
 	private get limits(): CallerLimits {
-		return this.core.view.configuration?.limits ?? firstLimits;
+		return this.core.view.configuration?.limits ?? defaultLimits;
 	}
 
-	private async handle(req: IncomingMessage, res: ServerResponse, ending: AbortController): Promise<void> {
+	private async handle(req: IncomingMessage, res: ServerResponse, closed: AbortController): Promise<void> {
 		const arrivedAt = this.core.clock.now();
 		const reply = new Reply(res);
 		if (this.isDraining) {
@@ -127,16 +127,16 @@
 			return;
 		}
 
-		if (!this.isTaking) {
+		if (!this.isAccepting) {
 			reply.send({
 				status: 503, code: 'stopping', message: 'This entry is about to end. Nothing was run.', retryAfterSeconds: stoppingRetrySeconds,
 			});
 			return;
 		}
 
-		await waitUntilSynced(this.core, req, ending.signal);
-		await waitForEvidence(this.core, ending.signal);
-		if (ending.signal.aborted) {
+		await waitUntilSynced(this.core, req, closed.signal);
+		await waitForEvidence(this.core, closed.signal);
+		if (closed.signal.aborted) {
 			return;
 		}
 
@@ -148,10 +148,10 @@
 			return;
 		}
 
-		await this.route(req, reply, ending, {arrivedAt, body, configuration});
+		await this.route(req, reply, closed, {arrivedAt, body, configuration});
 	}
 
-	private async route(req: IncomingMessage, reply: Reply, ending: AbortController, read: {arrivedAt: number; body: Uint8Array; configuration: ActiveConfiguration}): Promise<void> {
+	private async route(req: IncomingMessage, reply: Reply, closed: AbortController, read: {arrivedAt: number; body: Uint8Array; configuration: ActiveConfiguration}): Promise<void> {
 		const {core} = this;
 		const path = req.url ?? '/';
 		const route = read.configuration.routes.match(req.headers.host ?? '', path.split('?', 1)[0] ?? '/');
@@ -177,8 +177,8 @@
 			return;
 		}
 
-		if (ending.signal.aborted) {
-			this.giveBack(admission);
+		if (closed.signal.aborted) {
+			this.refund(admission);
 			return;
 		}
 
@@ -189,30 +189,30 @@
 			method, host: req.headers.host ?? '', path, caller, body: read.body,
 		});
 		const request: CallerRequest = {
-			requestId: caller.requestId, fingerprint, route, service, caller, admission, method, path, headers: req.headers, rawHeaders: req.rawHeaders, body: read.body, arrivedAt: read.arrivedAt, deadlineAt, callerDeadlineAt, signal: ending.signal,
+			requestId: caller.requestId, fingerprint, route, service, caller, admission, method, path, headers: req.headers, rawHeaders: req.rawHeaders, body: read.body, arrivedAt: read.arrivedAt, deadlineAt, callerDeadlineAt, signal: closed.signal,
 		};
 		const timer = setTimeout(() => {
 			this.expire(request, reply);
-			ending.abort();
+			closed.abort();
 		}, Math.max(1, deadlineAt - core.clock.now()));
-		ending.signal.addEventListener('abort', () => {
+		closed.signal.addEventListener('abort', () => {
 			clearTimeout(timer);
 			core.observer.recordRequest(route.kind, reply.finishedStatus, core.clock.now() - read.arrivedAt);
 		}, {once: true});
 		const mayHaveRun = await serveRequest(core, request, reply);
 		if (!mayHaveRun) {
-			this.giveBack(admission);
+			this.refund(admission);
 		}
 	}
 
-	/** A request that was let in has not run, so its workspace may ask for as much again. */
-	private giveBack({workspace, cost}: Admission): void {
+	/** Refunds the workspace's limit for an admitted request that was not run. */
+	private refund({workspace, cost}: Admission): void {
 		if (workspace && cost > 0) {
 			this.core.limits.refundCost(workspace.name, cost);
 		}
 	}
 
-	/** The time is over: a last answer at once, or a stream that is visibly broken. */
+	/** Ends a request at its deadline: with an error response, or by aborting a stream so that the caller detects the truncation. */
 	private expire({requestId, route, arrivedAt}: CallerRequest, reply: Reply): void {
 		const ageMs = Math.round(this.core.clock.now() - arrivedAt);
 		this.core.log('request.expired', {
--- a/packages/mastvalve-gateway/src/server/read-request.ts
+++ b/packages/mastvalve-gateway/src/server/read-body.ts
@@ -1,11 +1,11 @@
 /**
- * Reads a request's body whole, within the bound for bodies.
+ * Reads a request body into memory, up to a size limit.
  */
 
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
 
-/** The body; `too-large` when it exceeds the bound, `broken` when the caller broke off. */
+/** Returns the body; `too-large` when it exceeds `maxBytes`, `broken` when the caller disconnected before its end. */
 export const readBody = async (req: IncomingMessage, maxBytes: number): Promise<Uint8Array | 'too-large' | 'broken'> =>
 	new Promise(resolve => {
 		const chunks: Uint8Array[] = [];
--- a/packages/mastvalve-gateway/src/server/wait-for-control.ts
+++ b/packages/mastvalve-gateway/src/server/wait-for-control.ts
@@ -1,5 +1,5 @@
 /**
- * Waits of a request for what control is about to tell this entry: for a short time, and only where that is expected.
+ * Delays a request briefly while an update from control is expected.
  */
 
 import type {IncomingMessage} from 'node:http';
@@ -7,13 +7,13 @@
 import {evidenceWaitMs} from '../access/access-checker.js';
 import type {GatewayCore} from './gateway-core.js';
 
-/** Control elects a leader within 1.5 s after all of it was killed; a request waits that long at most, ms. */
+/** Longest wait for the initial configuration, ms: control elects a leader within 1.5 s after all its instances were killed. */
 const maxSyncWaitMs = 1800;
-/** Part of a caller's time that may go by in waiting, so that the rest suffices for the request. */
+/** Fraction of the caller's remaining time that may be spent waiting, so that the rest suffices for the request. */
 const syncWaitShare = 0.5;
 const evidencePollMs = 10;
 
-/** An entry that has just started knows the newest configuration soon; a request with time left waits for that. */
+/** Waits until the view is synced: shortly after the start of an entry, a request with time left is worth delaying. */
 export const waitUntilSynced = async ({view, dialect, isDraining}: GatewayCore, req: IncomingMessage, signal: AbortSignal): Promise<void> => {
 	if (view.isSynced || isDraining()) {
 		return;
@@ -37,7 +37,7 @@
 	});
 };
 
-/** After a suspension the next answer of control tells which keys are valid; it is asked for at once. */
+/** Waits for fresh key evidence after a suspension: the next response of control, which is requested at once, states the valid keys. */
 export const waitForEvidence = async ({access, clock}: GatewayCore, signal: AbortSignal): Promise<void> => {
 	const endAt = clock.now() + evidenceWaitMs;
 	while (access.isAwaiting && clock.now() < endAt && !signal.aborted) {
