--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-endpoints.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * Endpoints that count what they get, and say in their answers what they still take: a limit for all entries together, a backoff for
- * the entry that is refused, or that they are leaving.
+ * Endpoints that record their requests, and report in their answers a limit for all entries together, a backoff for the refused entry,
+ * or that they are leaving.
  */
 
 import type {EndpointReport} from 'mastvalve-fleet';
@@ -11,92 +11,90 @@
 	formatAnswer, idOf, startScriptedEndpoint, type ScriptedEndpoint,
 } from './scripted-endpoint.js';
 
-/** Time from the begin of a request to its answer, ms. */
-const runMs = 20;
+/** Time from the start of a request to its answer, ms. */
+const answerDelayMs = 20;
 
 type LimitedEndpoint = {
 	endpoint: ScriptedEndpoint;
-	/** Value of the field; undefined while it names none. */
-	word: string | undefined;
-	/** What it answers. */
+	/** Value of the limit header; undefined without a limit. */
+	limitHeader: string | undefined;
+	/** Status line of the answers. */
 	status: string;
-	/** Since when it names one, ms. */
-	namedAt: number;
-	/** Value of `Retry-After` while it refuses everything. */
+	/** Time when the limit was last set, ms. */
+	limitSetAt: number;
+	/** Value of `Retry-After` while all requests are refused; undefined otherwise. */
 	retryAfter: string | undefined;
 	isLeaving: boolean;
-	/** When requests came, ms. */
+	/** Arrival times of requests, ms. */
 	arrivals: number[];
-	/** The same with what was answered. */
-	answers: CountedAnswer[];
+	answers: RecordedAnswer[];
 };
 
-/** A request that came; what its answer asked for is undefined for one that was taken. */
-export type CountedAnswer = {request: string; at: number; retryAfter: string | undefined; isLeaving: boolean};
+/** A received request with its answer; `retryAfter` is undefined unless the request was refused. */
+export type RecordedAnswer = {request: string; at: number; retryAfter: string | undefined; isLeaving: boolean};
 
-/** All endpoints of a test. */
+/** All limited endpoints of a test. */
 export class LimitedEndpoints {
 	private readonly all: LimitedEndpoint[] = [];
 
 	constructor(private readonly control: FleetControl) {}
 
-	/** Starts as many; they report to control. */
+	/** Starts endpoints that report to control. */
 	async start(count: number): Promise<void> {
-		await Promise.all(Array.from({length: count}, async (_, index) => this.begin(index)));
+		await Promise.all(Array.from({length: count}, async (_, index) => this.startEndpoint(index)));
 	}
 
-	/** From now on one of them names this in its answers. */
-	name(index: number, word: string | undefined): void {
+	/** Sets the limit that an endpoint reports; undefined for none. */
+	setLimitHeader(index: number, limitHeader: string | undefined): void {
 		const limited = this.all[index]!;
-		limited.word = word;
-		limited.namedAt = systemClock.now();
+		limited.limitHeader = limitHeader;
+		limited.limitSetAt = systemClock.now();
 	}
 
 	get indexes(): number[] {
 		return this.all.map((_, index) => index);
 	}
 
-	/** When requests came to one of them since it has named its last word, ms. */
-	describe(index: number): string {
-		const {arrivals, namedAt} = this.all[index]!;
-		return arrivals.filter(at => at >= namedAt).map(at => Math.round(at - namedAt)).join(' ');
+	/** Arrival times of an endpoint's requests since its limit was last set, ms after that. */
+	formatArrivals(index: number): string {
+		const {arrivals, limitSetAt} = this.all[index]!;
+		return arrivals.filter(at => at >= limitSetAt).map(at => Math.round(at - limitSetAt)).join(' ');
 	}
 
-	/** The limit that one of them names, requests a second. */
-	limitOf(index: number): number {
-		return Number(this.all[index]!.word);
+	/** Limit that an endpoint reports, requests per second. */
+	getLimit(index: number): number {
+		return Number(this.all[index]!.limitHeader);
 	}
 
-	/** From now on one of them answers with this status. */
-	answerWith(index: number, status: string): void {
+	/** Sets the status line of an endpoint's answers. */
+	setStatus(index: number, status: string): void {
 		this.all[index]!.status = status;
 	}
 
-	/** From now on one of them refuses everything and asks for this backoff; undefined to take requests again. */
-	refuse(index: number, retryAfter: string | undefined): void {
+	/** Lets an endpoint refuse all requests with this `Retry-After`; undefined to accept requests again. */
+	setRetryAfter(index: number, retryAfter: string | undefined): void {
 		this.all[index]!.retryAfter = retryAfter;
 	}
 
-	/** From now on one of them says in its answers that it is leaving; its heartbeats say nothing of it. */
-	leave(index: number): void {
+	/** Lets an endpoint report in its answers, but not in its heartbeats, that it is leaving. */
+	startLeaving(index: number): void {
 		this.all[index]!.isLeaving = true;
 	}
 
-	/** All that one of them got, with its answers. */
-	listAnswers(index: number): readonly CountedAnswer[] {
+	listAnswers(index: number): readonly RecordedAnswer[] {
 		return this.all[index]!.answers;
 	}
 
-	/** How many requests one of them got since it has named its last word. */
+	/** Number of requests to an endpoint since `fromMs` after its limit was last set. */
 	countSince(index: number, fromMs = 0): number {
-		const {arrivals, namedAt} = this.all[index]!;
-		return arrivals.filter(at => at >= namedAt + fromMs).length;
+		const {arrivals, limitSetAt} = this.all[index]!;
+		return arrivals.filter(at => at >= limitSetAt + fromMs).length;
 	}
 
-	/** The most requests that one of them got within `spanMs`, from `afterMs` after it has named its last word. */
-	countMost(index: number, spanMs: number, afterMs: number): number {
-		const {arrivals, namedAt} = this.all[index]!;
-		const counted = arrivals.filter(at => at >= namedAt + afterMs);
+	/** Maximum number of requests to an endpoint within `spanMs`, from `afterMs` after its limit was last set. */
+	countMaxWithin(index: number, spanMs: number, afterMs: number): number {
+		const {arrivals, limitSetAt} = this.all[index]!;
+		const counted = arrivals.filter(at => at >= limitSetAt + afterMs);
 		return Math.max(0, ...counted.map(from => counted.filter(at => at >= from && at <= from + spanMs).length));
 	}
 
@@ -106,7 +104,7 @@
 		});
 	}
 
-	private async begin(index: number): Promise<void> {
+	private async startEndpoint(index: number): Promise<void> {
 		const endpoint = await startScriptedEndpoint((socket, text) => {
 			const limited = this.all[index]!;
 			const at = systemClock.now();
@@ -121,20 +119,31 @@
 			}
 
 			const leaving = isLeaving ? 'x-leaving: 1\r\n' : '';
-			const limit = limited.word === undefined ? '' : `x-limit: ${limited.word}\r\n`;
+			const limit = limited.limitHeader === undefined ? '' : `x-limit: ${limited.limitHeader}\r\n`;
 			setTimeout(() => {
 				socket.write(formatAnswer(idOf(text), 'whole', limited.status, leaving + limit));
-			}, runMs);
+			}, answerDelayMs);
 		});
 		this.all[index] = {
-			endpoint, word: undefined, status: '200 OK', namedAt: 0, retryAfter: undefined, isLeaving: false, arrivals: [], answers: [],
+			endpoint, limitHeader: undefined, status: '200 OK', limitSetAt: 0, retryAfter: undefined, isLeaving: false, arrivals: [], answers: [],
 		};
 		const report: EndpointReport = {
-			id: `endpoint-${index}`, sequence: 1, service: 's', address: endpoint.address, failureDomain: 'a', release: '', slots: 64, isLeaving: false, remainingMs: undefined, holds: [], inMemory: [], onDisk: [],
+			id: `endpoint-${index}`,
+			sequence: 1,
+			service: 's',
+			address: endpoint.address,
+			failureDomain: 'a',
+			release: '',
+			slots: 64,
+			isLeaving: false,
+			remainingMs: undefined,
+			holds: [],
+			inMemory: [],
+			onDisk: [],
 		};
-		await waitUntil('control has taken a report', async () => {
-			const taken = await this.control.report(report);
-			return taken.isOk();
+		await waitUntil('control has accepted a report', async () => {
+			const result = await this.control.report(report);
+			return result.isOk();
 		});
 	}
 }
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Many entries, a leader that counts, and endpoints that name limits, in virtual time. The parts that decide are the real ones; calls
- * and requests are passed on by hand, late and in any order.
+ * Simulates many entries, a leader that counts permits, and endpoints that report limits, in virtual time. The decision code is the
+ * real one; calls and requests are delivered by the simulation, late and in any order.
  */
 
 import {PeerError} from 'mastvalve-cluster';
@@ -19,90 +19,97 @@
 } from '../../src/index.js';
 import {createEndpoint} from './running-gateway.js';
 
-/** What is broken in the entries. */
+/** Faults that entries can be given. */
 export enum LimitFault {
 	None = 'none',
-	/** Each entry keeps to the limit by what it sends itself. */
-	EachForItself = 'each-for-itself',
-	/** Every answer counts as one to a request that was let through just now. */
-	AnyAnswerEnds = 'any-answer-ends',
-	/** What an entry has heard is told to nobody. */
-	Untold = 'untold',
-	/** The reservations of callers that leave are not released. */
+	/** Each entry enforces the limit on its own requests only. */
+	CountsLocally = 'each-for-itself',
+	/** Every answer without a limit counts as the answer to a request with the newest permit. */
+	AnyAnswerEndsLimit = 'any-answer-ends',
+	/** Entries do not report received limits to the leader. */
+	DropsReports = 'untold',
+	/** Reservations of callers that disconnect are not released. */
 	KeepsReservations = 'keeps-reservations',
-	/** A request that comes for its turn asks as if it held no reservation. */
+	/** A request claims again without its reservation. */
 	ForgetsReservations = 'forgets-reservations',
 }
 
-/** What a fleet is made from. */
 export type LimitedFleetOptions = {
 	entries: number;
 	endpoints: number;
-	/** Part of the requests that come through the first entry. */
+	/** Share of the requests that arrive at the first entry. */
 	firstShare: number;
 	fault: LimitFault;
-	/** The longest time of an answer, ms. */
+	/** Longest duration of an answer, ms. */
 	maxAnswerMs?: number;
-	/** Part of the callers that leave within 2 s if they wait so long. */
-	leaveShare?: number;
+	/** Share of the callers that disconnect within 2 s while they wait. */
+	disconnectShare?: number;
 	seed: number;
 };
 
-/** A call to the leader takes this long, ms; longer with none that answers. */
-const callMs = 3;
-const silenceMs = 150;
-/** News of the log reach entries within this time, ms. */
-const newsMs = 60;
-/** A request is at its endpoint after this long, and its answer takes this long at the least, ms. */
-const wayMs = 2;
+/** Duration of a call to the leader, ms, and of one that is not answered. */
+const callDurationMs = 3;
+const failedCallDurationMs = 150;
+/** Longest delay until an entry receives what the log has recorded, ms. */
+const maxReplicationDelayMs = 60;
+/** Time until a request arrives at its endpoint, and shortest duration of its answer, ms. */
+const requestDelayMs = 2;
 const minAnswerMs = 30;
-/** The longest time of an answer, where a test asks for none, ms. */
-const usualAnswerMs = 900;
-const dutyMs = 300;
-/** An entry that has passed on a limit keeps to it after this long, ms. */
-const toldMs = 500;
-/** A refused request can wait for so long, ms. */
-const patienceMs = 4000;
-const maxStayMs = 2000;
-
-type Entry = {isCut: boolean; board: EndpointTracker; limiter: EndpointLimiter; view: Map<string, FleetEndpoint>; buckets: Map<string, TokenBucket>; ending: AbortController; told: Map<string, {namedAt: number; at: number}>};
-/** `isTold` says whether its entry had passed on an answer that names the present limit, long enough before. */
-type Arrival = {at: number; urgency: number; isTold: boolean};
-type VirtualEndpoint = {id: string; word: string | undefined; namedAt: number; arrivals: Arrival[]};
-
-/** The fleet. */
+/** Default of the longest duration of an answer, ms. */
+const defaultMaxAnswerMs = 900;
+const periodicTaskIntervalMs = 300;
+/** Time after which an entry must enforce a limit that it has received, ms. */
+const enforceAfterMs = 500;
+/** Longest time that a request waits for a permit, ms. */
+const waitLimitMs = 4000;
+const maxDisconnectDelayMs = 2000;
+
+type Entry = {
+	isDisconnected: boolean;
+	tracker: EndpointTracker;
+	limiter: EndpointLimiter;
+	view: Map<string, FleetEndpoint>;
+	buckets: Map<string, TokenBucket>;
+	ending: AbortController;
+	/** First answers with the current limits, by endpoint id; times in ms. */
+	receivedLimits: Map<string, {limitSetAt: number; at: number}>;
+};
+/** `isInformed` is set when its entry had received the current limit at least `enforceAfterMs` before. */
+type Arrival = {at: number; urgency: number; isInformed: boolean};
+type VirtualEndpoint = {id: string; limitHeader: string | undefined; limitSetAt: number; arrivals: Arrival[]};
+
 export class LimitedFleet {
 	readonly time = new VirtualTime();
-	/** Requests that were refused without any wait, and those that got no permit although they had waited. */
+	/** Number of requests refused without waiting, and of those refused after waiting. */
 	refusedAtOnce = 0;
 	refusedLate = 0;
-	/** Calls to the leader. */
+	/** Number of calls to the leader. */
 	calls = 0;
 	private readonly random: Random;
 	private readonly endpoints: VirtualEndpoint[];
 	private readonly entries: Entry[];
-	/** What the log tells. */
+	/** Endpoints as recorded in the log. */
 	private readonly recorded = new Map<string, FleetEndpoint>();
 	private leader: LimitService | undefined;
 	private publisher: LimitPublisher | undefined;
 	private term = 0;
-	private isOver = false;
+	private isClosed = false;
 
 	constructor(private readonly options: LimitedFleetOptions) {
 		this.random = createRandom(options.seed);
 		this.endpoints = Array.from({length: options.endpoints}, (_, index) => ({
-			id: `e${index}`, word: undefined, namedAt: 0, arrivals: [],
+			id: `e${index}`, limitHeader: undefined, limitSetAt: 0, arrivals: [],
 		}));
 		this.endpoints.forEach(({id}) => {
 			this.recorded.set(id, createEndpoint(id));
 		});
-		this.elect();
+		this.electLeader();
 		this.entries = Array.from({length: options.entries}, (_, index) => this.createEntry(index));
-		void this.carryOutDuties();
+		void this.runPeriodicTasks();
 	}
 
-	/** Another leader counts from now on. */
-	elect(): void {
+	/** Elects a new leader, in the next term. */
+	electLeader(): void {
 		this.term += 1;
 		const {term} = this;
 		const now = (): number => this.time.clock.now();
@@ -115,39 +122,37 @@
 		});
 	}
 
-	/** No leader answers any more. */
-	loseLeader(): void {
+	removeLeader(): void {
 		this.leader = undefined;
 		this.publisher = undefined;
 	}
 
-	/** Some of the entries reach nobody of control. */
-	cut(share: number, isCut: boolean): void {
+	/** Disconnects a share of the entries from control, or reconnects them. */
+	setDisconnected(share: number, isDisconnected: boolean): void {
 		this.entries.slice(0, Math.round(share * this.entries.length)).forEach(entry => {
-			entry.isCut = isCut;
+			entry.isDisconnected = isDisconnected;
 		});
 	}
 
-	/** An entry ends, and another one begins in its place. */
+	/** Replaces an entry by a new one. */
 	restart(index: number): void {
 		this.entries[index]!.ending.abort();
 		this.entries[index] = this.createEntry(index);
 	}
 
-	/** From now on an endpoint names this. */
-	name(index: number, word: string | undefined): void {
+	/** Sets the limit header of an endpoint; undefined for none. */
+	setLimitHeader(index: number, limitHeader: string | undefined): void {
 		const endpoint = this.endpoints[index]!;
-		endpoint.word = word;
-		endpoint.namedAt = this.time.clock.now();
+		endpoint.limitHeader = limitHeader;
+		endpoint.limitSetAt = this.time.clock.now();
 	}
 
-	/** What an endpoint names. */
-	wordOf(index: number): string | undefined {
-		return this.endpoints[index]?.word;
+	getLimitHeader(index: number): string | undefined {
+		return this.endpoints[index]?.limitHeader;
 	}
 
-	/** Requests come for some time, at random moments; a part of them is urgent. */
-	async load(perSecond: number, ms: number, urgentShare = 1): Promise<void> {
+	/** Sends requests at random times for a duration; a share of them is urgent. */
+	async runLoad(perSecond: number, ms: number, urgentShare = 1): Promise<void> {
 		const end = this.time.clock.now() + ms;
 		const arrive = async (): Promise<void> => {
 			while (this.time.clock.now() < end) {
@@ -162,27 +167,26 @@
 		await this.time.advance(ms);
 	}
 
-	/** The most requests that an endpoint got within `spanMs`, from `afterMs` after its last word. */
-	countMost(index: number, spanMs: number, afterMs: number): number {
-		const {namedAt} = this.endpoints[index]!;
-		const times = this.listArrivals(index, namedAt + afterMs).map(({at}) => at);
+	/** Maximum number of requests to an endpoint within `spanMs`, from `afterMs` after its limit was last set. */
+	countMaxWithin(index: number, spanMs: number, afterMs: number): number {
+		const {limitSetAt} = this.endpoints[index]!;
+		const times = this.listArrivals(index, limitSetAt + afterMs).map(({at}) => at);
 		return Math.max(0, ...times.map(from => times.filter(at => at >= from && at <= from + spanMs).length));
 	}
 
-	/** The same of entries that had been told the limit. */
-	countMostTold(index: number, spanMs: number): number {
-		const {namedAt} = this.endpoints[index]!;
-		const times = this.listArrivals(index, namedAt).filter(({isTold}) => isTold).map(({at}) => at);
+	/** Maximum number of requests to an endpoint within `spanMs` from entries that had received its limit. */
+	countMaxFromInformedEntries(index: number, spanMs: number): number {
+		const {limitSetAt} = this.endpoints[index]!;
+		const times = this.listArrivals(index, limitSetAt).filter(({isInformed}) => isInformed).map(({at}) => at);
 		return Math.max(0, ...times.map(from => times.filter(at => at >= from && at <= from + spanMs).length));
 	}
 
-	/** Requests that an endpoint got from a moment on. */
 	listArrivals(index: number, fromMs: number): Arrival[] {
 		return this.endpoints[index]!.arrivals.filter(({at}) => at >= fromMs);
 	}
 
 	close(): void {
-		this.isOver = true;
+		this.isClosed = true;
 		this.entries.forEach(({ending}) => {
 			ending.abort();
 		});
@@ -191,7 +195,7 @@
 	private createEntry(index: number): Entry {
 		const now = (): number => this.time.clock.now();
 		const ending = new AbortController();
-		const board = new EndpointTracker(now);
+		const tracker = new EndpointTracker(now);
 		const view = new Map(this.recorded);
 		const client = new LimitClient({
 			entry: `entry ${index} ${this.random()}`,
@@ -206,22 +210,22 @@
 			onEvent: () => undefined,
 		});
 		const limiter = new EndpointLimiter({
-			view: {find: id => view.get(id)}, board, client, now,
+			view: {find: id => view.get(id)}, board: tracker, client, now,
 		});
 		const entry: Entry = {
-			isCut: false, board, limiter, view, buckets: new Map(), ending, told: new Map(),
+			isDisconnected: false, tracker, limiter, view, buckets: new Map(), ending, receivedLimits: new Map(),
 		};
 		return entry;
 	}
 
-	private async call<T>(entry: Entry, question: LimitRequest): Promise<Result<T, PeerError>> {
+	private async call<T>(entry: Entry, limitRequest: LimitRequest): Promise<Result<T, PeerError>> {
 		this.calls += 1;
-		await this.time.wait(callMs / 2);
-		const asked = this.options.fault === LimitFault.Untold ? {...question, words: []} : question;
-		const answers: LimitResponse | undefined = entry.isCut ? undefined : this.leader?.answer(asked);
+		await this.time.wait(callDurationMs / 2);
+		const sentRequest = this.options.fault === LimitFault.DropsReports ? {...limitRequest, words: []} : limitRequest;
+		const response: LimitResponse | undefined = entry.isDisconnected ? undefined : this.leader?.answer(sentRequest);
 		void this.publisher?.publish();
-		await this.time.wait(answers ? callMs / 2 : silenceMs);
-		return answers ? ok(assumeType<T>(answers)) : err(new PeerError('leader', '/limits', 'no answer'));
+		await this.time.wait(response ? callDurationMs / 2 : failedCallDurationMs);
+		return response ? ok(assumeType<T>(response)) : err(new PeerError('leader', '/limits', 'no answer'));
 	}
 
 	private async record(command: FleetCommand): Promise<boolean> {
@@ -230,38 +234,38 @@
 				this.recorded.set(endpoint, createEndpoint(endpoint, {limitPerSecond: perSecond}));
 			});
 			this.entries.forEach(entry => {
-				void this.tellNews(entry);
+				void this.replicate(entry);
 			});
 		}
 
 		return true;
 	}
 
-	private async tellNews(entry: Entry): Promise<void> {
-		await this.time.wait(this.random() * newsMs);
-		if (!entry.isCut) {
+	private async replicate(entry: Entry): Promise<void> {
+		await this.time.wait(this.random() * maxReplicationDelayMs);
+		if (!entry.isDisconnected) {
 			this.recorded.forEach((endpoint, id) => {
 				entry.view.set(id, endpoint);
 			});
 		}
 	}
 
-	private async carryOutDuties(): Promise<void> {
-		while (!this.isOver) {
+	private async runPeriodicTasks(): Promise<void> {
+		while (!this.isClosed) {
 			// eslint-disable-next-line no-await-in-loop
-			await this.time.wait(dutyMs);
+			await this.time.wait(periodicTaskIntervalMs);
 			void this.publisher?.publish();
 			this.entries.forEach(entry => {
-				void this.tellNews(entry);
+				void this.replicate(entry);
 			});
 		}
 	}
 
-	/** One request: claims a permit at any endpoint, and waits for its turn where there is none. */
+	/** Serves one request: claims a permit at any endpoint, and waits for the reported time when there is none. */
 	private async serve(entry: Entry, urgency: number): Promise<void> {
-		const endAt = this.time.clock.now() + patienceMs;
+		const endAt = this.time.clock.now() + waitLimitMs;
 		const shuffled = this.endpoints.map(endpoint => ({endpoint, key: this.random()})).toSorted((a, b) => a.key - b.key).map(({endpoint}) => endpoint);
-		const leavesAt = this.random() < (this.options.leaveShare ?? 0) ? this.time.clock.now() + (this.random() * maxStayMs) : Number.POSITIVE_INFINITY;
+		const disconnectsAt = this.random() < (this.options.disconnectShare ?? 0) ? this.time.clock.now() + (this.random() * maxDisconnectDelayMs) : Number.POSITIVE_INFINITY;
 		let reservation: string | undefined;
 		let hasWaited = false;
 		while (!entry.ending.signal.aborted) {
@@ -270,7 +274,7 @@
 			const outcome = await this.claim(entry, shuffled, {urgency, maxWaitMs, reservation: this.options.fault === LimitFault.ForgetsReservations ? undefined : reservation});
 			const endpoint = shuffled.find(({id}) => id === outcome.endpoint);
 			if (endpoint) {
-				this.handOver(entry, endpoint, urgency, outcome.grantedAt);
+				this.dispatch(entry, endpoint, urgency, outcome.grantedAt);
 				return;
 			}
 
@@ -283,29 +287,29 @@
 			reservation = outcome.reservation;
 			hasWaited = true;
 			// eslint-disable-next-line no-await-in-loop
-			await this.time.wait(Math.min(outcome.waitMs, leavesAt - this.time.clock.now()));
-			if (this.time.clock.now() >= leavesAt) {
-				this.leave(entry, reservation);
+			await this.time.wait(Math.min(outcome.waitMs, disconnectsAt - this.time.clock.now()));
+			if (this.time.clock.now() >= disconnectsAt) {
+				this.disconnect(entry, reservation);
 				return;
 			}
 		}
 	}
 
-	private leave(entry: Entry, reservation: string | undefined): void {
+	private disconnect(entry: Entry, reservation: string | undefined): void {
 		if (reservation !== undefined && this.options.fault !== LimitFault.KeepsReservations) {
 			entry.limiter.releaseReservation(reservation);
 		}
 	}
 
-	private async claim(entry: Entry, endpoints: readonly VirtualEndpoint[], wish: PermitRequest): Promise<PermitOutcome> {
-		if (this.options.fault === LimitFault.EachForItself) {
-			return this.claimByItself(entry, endpoints[0]!.id);
+	private async claim(entry: Entry, endpoints: readonly VirtualEndpoint[], permitRequest: PermitRequest): Promise<PermitOutcome> {
+		if (this.options.fault === LimitFault.CountsLocally) {
+			return this.claimLocally(entry, endpoints[0]!.id);
 		}
 
-		return entry.limiter.claim(endpoints.map(({id}) => entry.view.get(id) ?? createEndpoint(id)), wish);
+		return entry.limiter.claim(endpoints.map(({id}) => entry.view.get(id) ?? createEndpoint(id)), permitRequest);
 	}
 
-	private claimByItself(entry: Entry, id: string): PermitOutcome {
+	private claimLocally(entry: Entry, id: string): PermitOutcome {
 		const now = this.time.clock.now();
 		const perSecond = entry.limiter.findLimit(createEndpoint(id));
 		const bucket = entry.buckets.get(id) ?? new TokenBucket(perSecond ?? 1, now, 1);
@@ -320,22 +324,22 @@
 		};
 	}
 
-	private handOver(entry: Entry, endpoint: VirtualEndpoint, urgency: number, grantedAt: LimitTimestamp | undefined): void {
+	private dispatch(entry: Entry, endpoint: VirtualEndpoint, urgency: number, grantedAt: LimitTimestamp | undefined): void {
 		void (async () => {
-			await this.time.wait(wayMs);
-			const told = entry.told.get(endpoint.id);
+			await this.time.wait(requestDelayMs);
+			const received = entry.receivedLimits.get(endpoint.id);
 			const at = this.time.clock.now();
-			endpoint.arrivals.push({at, urgency, isTold: told?.namedAt === endpoint.namedAt && at - told.at >= toldMs});
-			const {namedAt} = endpoint;
-			const word = parseLimitHeader(endpoint.word);
-			await this.time.wait(minAnswerMs + (this.random() * ((this.options.maxAnswerMs ?? usualAnswerMs) - minAnswerMs)));
-			if ((entry.told.get(endpoint.id)?.namedAt ?? Number.NEGATIVE_INFINITY) < namedAt) {
-				entry.told.set(endpoint.id, {namedAt, at: this.time.clock.now()});
+			endpoint.arrivals.push({at, urgency, isInformed: received?.limitSetAt === endpoint.limitSetAt && at - received.at >= enforceAfterMs});
+			const {limitSetAt} = endpoint;
+			const limit = parseLimitHeader(endpoint.limitHeader);
+			await this.time.wait(minAnswerMs + (this.random() * ((this.options.maxAnswerMs ?? defaultMaxAnswerMs) - minAnswerMs)));
+			if ((entry.receivedLimits.get(endpoint.id)?.limitSetAt ?? Number.NEGATIVE_INFINITY) < limitSetAt) {
+				entry.receivedLimits.set(endpoint.id, {limitSetAt, at: this.time.clock.now()});
 			}
 
-			const isUnheard = word.kind === LimitHeaderKind.Absent && this.options.fault === LimitFault.AnyAnswerEnds;
-			const toldAt = isUnheard ? {term: this.term, number: Number.MAX_SAFE_INTEGER} : grantedAt;
-			entry.limiter.recordReportedLimit(entry.view.get(endpoint.id) ?? createEndpoint(endpoint.id), word, toldAt);
+			const endsLimit = limit.kind === LimitHeaderKind.Absent && this.options.fault === LimitFault.AnyAnswerEndsLimit;
+			const permitTimestamp = endsLimit ? {term: this.term, number: Number.MAX_SAFE_INTEGER} : grantedAt;
+			entry.limiter.recordReportedLimit(entry.view.get(endpoint.id) ?? createEndpoint(endpoint.id), limit, permitTimestamp);
 		})();
 	}
 }
--- a/packages/mastvalve-gateway/__tests__/disconnected-entry.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/disconnected-entry.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of an entry that no leader answers.
+ * Steps for an entry whose leader does not answer.
  */
 
 import {strict as assert} from 'node:assert';
@@ -15,7 +15,7 @@
 
 const silenceMs = 150;
 
-Given('an entry whose leader answers nothing', function (this: DisconnectedWorld) {
+Given('an entry whose leader does not answer', function (this: DisconnectedWorld) {
 	this.answeredAfterMs = [];
 	this.disconnectedEnding = new AbortController();
 	this.disconnectedClient = new LimitClient({
@@ -41,7 +41,7 @@
 	this.disconnectedEnding?.abort();
 });
 
-When('a request claims a permit, and {int} ms later another one a permit and one the limit of its workspace', async function (this: DisconnectedWorld, pauseMs: number) {
+When('a request claims a permit, and {int} ms later one request claims a permit and one claims a cost from its workspace limit', async function (this: DisconnectedWorld, pauseMs: number) {
 	const startedAt = systemClock.now();
 	const note = async (answer: Promise<unknown>): Promise<void> => {
 		await answer;
@@ -57,7 +57,7 @@
 	void note(this.disconnectedClient.claimCost('w', 1));
 });
 
-Then('all {int} are answered within {int} ms', async function (this: DisconnectedWorld, count: number, limitMs: number) {
+Then('all {int} claims are answered within {int} ms', async function (this: DisconnectedWorld, count: number, limitMs: number) {
 	await waitFor(limitMs);
 	assert.equal(this.answeredAfterMs.filter(ms => ms <= limitMs).length, count);
 });
--- a/packages/mastvalve-gateway/__tests__/endpoint-backoff.feature
+++ b/packages/mastvalve-gateway/__tests__/endpoint-backoff.feature
@@ -3,54 +3,54 @@
   # An entry went on sending requests to an endpoint that had refused one and asked for 3 s of backoff.
   Scenario: Retry-After of a refusal keeps an entry away from the endpoint
     Given 5 entries that follow control
-    And 3 endpoints that count what they get
+    And 3 recording endpoints
     When endpoint 0 refuses everything with Retry-After "3"
-    And 240 requests come within 6000 ms, at one entry after the other
+    And 240 requests arrive within 6000 ms, round-robin over the entries
     Then no entry sent endpoint 0 more than 2 requests between 500 ms after a refusal and the end of its backoff
-    And all requests were answered
+    And all requests succeed
 
   # An entry went on sending requests to an endpoint whose answers said that it was leaving, while its heartbeats didn't.
   Scenario: A leaving endpoint gets no requests from entries that it has told
     Given 5 entries that follow control
-    And 3 endpoints that count what they get
+    And 3 recording endpoints
     When endpoint 0 says in its answers that it is leaving
-    And 160 requests come within 4000 ms, at one entry after the other
+    And 160 requests arrive within 4000 ms, round-robin over the entries
     Then no entry sent endpoint 0 a request later than 500 ms after it had been told
-    And all requests were answered
+    And all requests succeed
 
   Scenario: An entry that starts later learns from control that an endpoint is leaving
     Given 3 entries that follow control
-    And 3 endpoints that count what they get
+    And 3 recording endpoints
     When endpoint 0 says in its answers that it is leaving
-    And 30 requests come within 1000 ms, at one entry after the other
+    And 30 requests arrive within 1000 ms, round-robin over the entries
     And the entries are restarted
-    And 60 requests come within 1500 ms, at one entry after the other
+    And 60 requests arrive within 1500 ms, round-robin over the entries
     Then endpoint 0 got nothing after the restart
-    And all requests were answered
+    And all requests succeed
 
   Scenario: A leaving endpoint gets nothing more while no control instance answers
     Given 3 entries that follow control
-    And 3 endpoints that count what they get
+    And 3 recording endpoints
     When control ends
     And endpoint 0 says in its answers that it is leaving
-    And 60 requests come within 1500 ms, at one entry after the other
+    And 60 requests arrive within 1500 ms, round-robin over the entries
     Then no entry sent endpoint 0 a request later than 500 ms after it had been told
-    And all requests were answered
+    And all requests succeed
 
   Scenario: A request waits for the end of a backoff that leaves it in time
     Given 1 entry that follows control
-    And 1 endpoints that count what they get
+    And 1 recording endpoint
     When endpoint 0 refuses everything with Retry-After "0.3"
-    And 1 requests come within 10 ms, at one entry after the other
+    And 1 request arrives within 10 ms, round-robin over the entries
     And endpoint 0 takes requests again
-    And 10 requests come within 100 ms, at one entry after the other
+    And 10 requests arrive within 100 ms, round-robin over the entries
     Then all requests but the first were answered
 
   Scenario: What can't be served before the backoff ends is refused at once, with the time left
     Given 1 entry that follows control
-    And 1 endpoints that count what they get
+    And 1 recording endpoint
     When endpoint 0 refuses everything with Retry-After "5"
-    And 20 requests come within 1000 ms, at one entry after the other
+    And 20 requests arrive within 1000 ms, round-robin over the entries
     Then endpoint 0 got 1 request
     And every request was refused within 300 ms and told to come back after 3000 to 5500 ms
 
--- a/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/endpoint-backoff.steps.ts
@@ -13,7 +13,7 @@
 	CapacityWaiters, EndpointTracker, FleetView, forgetGoneEndpoints, FirstByteTimes, ModelDemand, type WaiterHandle,
 } from '../src/index.js';
 import type {CallResult, EntriesAndControl} from './__fixtures__/entries-and-control.js';
-import type {CountedAnswer, LimitedEndpoints} from './__fixtures__/limited-endpoints.js';
+import type {RecordedAnswer, LimitedEndpoints} from './__fixtures__/limited-endpoints.js';
 import {createEndpoint} from './__fixtures__/running-gateway.js';
 
 type BackoffWorld = World & {
@@ -33,19 +33,19 @@
 const msPerSecond = 1000;
 
 When('endpoint {int} refuses everything with Retry-After {string}', function (this: BackoffWorld, index: number, retryAfter: string) {
-	this.limited.refuse(index, retryAfter);
+	this.limited.setRetryAfter(index, retryAfter);
 });
 
 When('endpoint {int} takes requests again', function (this: BackoffWorld, index: number) {
-	this.limited.refuse(index, undefined);
+	this.limited.setRetryAfter(index, undefined);
 });
 
 When('endpoint {int} says in its answers that it is leaving', function (this: BackoffWorld, index: number) {
-	this.limited.leave(index);
+	this.limited.startLeaving(index);
 });
 
 /** What came to an endpoint from the entry that got an answer, after that answer and within a span. */
-const listBetween = ({following, limited}: BackoffWorld, index: number, answer: CountedAnswer, fromMs: number, untilMs: number): CountedAnswer[] => {
+const listBetween = ({following, limited}: BackoffWorld, index: number, answer: RecordedAnswer, fromMs: number, untilMs: number): RecordedAnswer[] => {
 	const entry = following.entryOf.get(answer.request);
 	return limited.listAnswers(index).filter(({request, at}) => following.entryOf.get(request) === entry && at > answer.at + fromMs && at < answer.at + untilMs);
 };
--- a/packages/mastvalve-gateway/__tests__/limited-fleet.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/limited-fleet.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of many entries and limited endpoints in virtual time.
+ * Steps for many entries and limited endpoints in virtual time.
  */
 
 import {strict as assert} from 'node:assert';
@@ -22,63 +22,63 @@
 
 const faults = new Map(Object.values(LimitFault).map((fault): [string, LimitFault] => [fault, fault]));
 
-const open = (world: FleetWorld, options: Omit<LimitedFleetOptions, 'seed'>): void => {
+const openFleet = (world: FleetWorld, options: Omit<LimitedFleetOptions, 'seed'>): void => {
 	world.entryCount = options.entries;
 	world.endpointCount = options.endpoints;
 	world.fleet = new LimitedFleet({...options, seed});
 };
 
-Given('{int} entries in virtual time that share {int} endpoints, {float} of all requests through one of them', function (this: FleetWorld, entries: number, endpoints: number, firstShare: number) {
-	open(this, {
+Given('{int} entry/entries in virtual time sharing {int} endpoint(s), with {float} of all requests through one entry', function (this: FleetWorld, entries: number, endpoints: number, firstShare: number) {
+	openFleet(this, {
 		entries, endpoints, firstShare, fault: LimitFault.None,
 	});
 });
 
-Given('{int} entries in virtual time that share an endpoint whose answers take up to {int} ms, with the fault {string}', function (this: FleetWorld, entries: number, maxAnswerMs: number, fault: string) {
-	open(this, {
+Given('{int} entries in virtual time sharing an endpoint whose answers take up to {int} ms, with the fault {string}', function (this: FleetWorld, entries: number, maxAnswerMs: number, fault: string) {
+	openFleet(this, {
 		entries, endpoints: 1, firstShare: 0, fault: faults.get(fault)!, maxAnswerMs,
 	});
 });
 
-Given('{int} entries in virtual time that share {int} endpoints, and half of the callers leave while they wait, with the fault {string}', function (this: FleetWorld, entries: number, endpoints: number, fault: string) {
-	open(this, {
-		entries, endpoints, firstShare: 0, fault: faults.get(fault)!, leaveShare: 0.5,
+Given('{int} entry/entries in virtual time sharing {int} endpoint(s), where half of the waiting callers disconnect, with the fault {string}', function (this: FleetWorld, entries: number, endpoints: number, fault: string) {
+	openFleet(this, {
+		entries, endpoints, firstShare: 0, fault: faults.get(fault)!, disconnectShare: 0.5,
 	});
 });
 
-const name = ({fleet, endpointCount}: FleetWorld, word: string | undefined): void => {
+const setLimitHeader = ({fleet, endpointCount}: FleetWorld, header: string | undefined): void => {
 	Array.from({length: endpointCount}).forEach((_, index) => {
-		fleet.name(index, word);
+		fleet.setLimitHeader(index, header);
 	});
 };
 
-When('the endpoints name a limit of {string} a second, and {int} requests a second come for each of them for {int} s', async function (this: FleetWorld, word: string, perSecond: number, seconds: number) {
-	name(this, word);
-	await this.fleet.load(perSecond * this.endpointCount, seconds * msPerSecond);
+When('the endpoints report a limit of {string} per second, and {int} requests per second arrive for each of them for {int} s', async function (this: FleetWorld, header: string, perSecond: number, seconds: number) {
+	setLimitHeader(this, header);
+	await this.fleet.runLoad(perSecond * this.endpointCount, seconds * msPerSecond);
 });
 
-When('the endpoints name a limit of {string} a second, and {int} requests a second come for {int} s', async function (this: FleetWorld, word: string, perSecond: number, seconds: number) {
-	name(this, word);
-	await this.fleet.load(perSecond, seconds * msPerSecond);
+When('the endpoints report a limit of {string} per second, and {int} requests per second arrive for {int} s', async function (this: FleetWorld, header: string, perSecond: number, seconds: number) {
+	setLimitHeader(this, header);
+	await this.fleet.runLoad(perSecond, seconds * msPerSecond);
 });
 
-When('{int} requests a second come for {int} s', async function (this: FleetWorld, perSecond: number, seconds: number) {
-	await this.fleet.load(perSecond, seconds * msPerSecond);
+When('{int} requests per second arrive for {int} s', async function (this: FleetWorld, perSecond: number, seconds: number) {
+	await this.fleet.runLoad(perSecond, seconds * msPerSecond);
 });
 
-When('the endpoints name no limit, and {int} requests a second come for {int} s', async function (this: FleetWorld, perSecond: number, seconds: number) {
-	name(this, undefined);
-	await this.fleet.load(perSecond, seconds * msPerSecond);
+When('the endpoints report no limit, and {int} requests per second arrive for {int} s', async function (this: FleetWorld, perSecond: number, seconds: number) {
+	setLimitHeader(this, undefined);
+	await this.fleet.runLoad(perSecond, seconds * msPerSecond);
 });
 
-When('the endpoints name a limit of {string} a second, and {int} requests a second come for {int} s, {float} of them urgent', async function (this: FleetWorld, word: string, perSecond: number, seconds: number, urgentShare: number) {
-	name(this, word);
-	await this.fleet.load(perSecond, seconds * msPerSecond, urgentShare);
+When('the endpoints report a limit of {string} per second, and {int} requests per second arrive for {int} s, {float} of them urgent', async function (this: FleetWorld, header: string, perSecond: number, seconds: number, urgentShare: number) {
+	setLimitHeader(this, header);
+	await this.fleet.runLoad(perSecond, seconds * msPerSecond, urgentShare);
 });
 
-type Disturb = (world: FleetWorld) => Promise<void>;
+type Disturbance = (world: FleetWorld) => Promise<void>;
 
-const restartInTurn: Disturb = async ({fleet, entryCount}) => {
+const restartEntries: Disturbance = async ({fleet, entryCount}) => {
 	await Array.from({length: 16}).reduce<Promise<void>>(async (before, _, number) => {
 		await before;
 		fleet.restart(number % entryCount);
@@ -86,85 +86,85 @@
 	}, Promise.resolve());
 };
 
-const electOften: Disturb = async ({fleet}) => {
+const changeLeaderRepeatedly: Disturbance = async ({fleet}) => {
 	await Array.from({length: 4}).reduce<Promise<void>>(async before => {
 		await before;
-		fleet.loseLeader();
+		fleet.removeLeader();
 		await fleet.time.wait(1200);
-		fleet.elect();
+		fleet.electLeader();
 		await fleet.time.wait(800);
 	}, Promise.resolve());
 };
 
-const disturbances: Record<string, Disturb> = {
-	'leaders follow each other': electOften,
-	'entries restart one after the other': restartInTurn,
+const disturbances: Record<string, Disturbance> = {
+	'the leader changes repeatedly': changeLeaderRepeatedly,
+	'entries restart one after another': restartEntries,
 	async 'no leader answers'({fleet}) {
-		fleet.loseLeader();
+		fleet.removeLeader();
 		await fleet.time.wait(8000);
-		fleet.elect();
+		fleet.electLeader();
 	},
-	async 'a third of the entries is cut off'({fleet}) {
-		fleet.cut(1 / 3, true);
+	async 'a third of the entries is disconnected'({fleet}) {
+		fleet.setDisconnected(1 / 3, true);
 		await fleet.time.wait(8000);
-		fleet.cut(1 / 3, false);
+		fleet.setDisconnected(1 / 3, false);
 	},
 };
 
-When('the endpoints name a limit of {string} a second, and {int} requests a second come, while {string} from 8 s to 16 s', async function (this: FleetWorld, word: string, perSecond: number, what: string) {
-	name(this, word);
+When('the endpoints report a limit of {string} per second, and {int} requests per second arrive, while {string} from 8 s to 16 s', async function (this: FleetWorld, header: string, perSecond: number, disturbance: string) {
+	setLimitHeader(this, header);
 	void (async () => {
 		await this.fleet.time.wait(8000);
-		await disturbances[what]!(this);
+		await disturbances[disturbance]!(this);
 	})();
 
-	await this.fleet.load(perSecond, 24_000);
+	await this.fleet.runLoad(perSecond, 24_000);
 });
 
 const listIndexes = ({endpointCount}: FleetWorld): number[] => Array.from({length: endpointCount}, (_, index) => index);
 
-Then('each endpoint got at most {int} requests in any {int} s from {int} ms after it had named its limit', function (this: FleetWorld, limit: number, seconds: number, afterMs: number) {
-	const most = listIndexes(this).map(index => this.fleet.countMost(index, seconds * msPerSecond, afterMs));
-	assert.ok(Math.max(...most) <= limit, `the most requests in ${seconds} s: ${most.join(', ')}`);
+Then('each endpoint receives at most {int} requests in any {int} s, starting {int} ms after it reported its limit', function (this: FleetWorld, limit: number, seconds: number, afterMs: number) {
+	const most = listIndexes(this).map(index => this.fleet.countMaxWithin(index, seconds * msPerSecond, afterMs));
+	assert.ok(Math.max(...most) <= limit, `maximum number of requests in ${seconds} s: ${most.join(', ')}`);
 });
 
-Then('each endpoint got at most {int} requests in any {int} s from entries that it had told 500 ms before', function (this: FleetWorld, limit: number, seconds: number) {
-	const most = listIndexes(this).map(index => this.fleet.countMostTold(index, seconds * msPerSecond));
-	assert.ok(Math.max(...most) <= limit, `the most requests in ${seconds} s: ${most.join(', ')}`);
+Then('each endpoint receives at most {int} requests in any {int} s from entries that received its limit at least 500 ms before', function (this: FleetWorld, limit: number, seconds: number) {
+	const most = listIndexes(this).map(index => this.fleet.countMaxFromInformedEntries(index, seconds * msPerSecond));
+	assert.ok(Math.max(...most) <= limit, `maximum number of requests in ${seconds} s: ${most.join(', ')}`);
 });
 
-Then('each endpoint got at least {int} requests in the last {int} s', function (this: FleetWorld, least: number, seconds: number) {
+Then('each endpoint receives at least {int} requests in the last {int} s', function (this: FleetWorld, least: number, seconds: number) {
 	const from = this.fleet.time.clock.now() - (seconds * msPerSecond);
-	const got = listIndexes(this).map(index => this.fleet.listArrivals(index, from).length);
-	assert.ok(Math.min(...got) >= least, `requests in the last ${seconds} s: ${got.join(', ')}`);
+	const counts = listIndexes(this).map(index => this.fleet.listArrivals(index, from).length);
+	assert.ok(Math.min(...counts) >= least, `requests in the last ${seconds} s: ${counts.join(', ')}`);
 });
 
-Then('some endpoint got less than {int} requests in the last {int} s', function (this: FleetWorld, least: number, seconds: number) {
+Then('some endpoint receives fewer than {int} requests in the last {int} s', function (this: FleetWorld, least: number, seconds: number) {
 	const from = this.fleet.time.clock.now() - (seconds * msPerSecond);
-	const got = listIndexes(this).map(index => this.fleet.listArrivals(index, from).length);
-	assert.ok(Math.min(...got) < least, `requests in the last ${seconds} s: ${got.join(', ')}`);
+	const counts = listIndexes(this).map(index => this.fleet.listArrivals(index, from).length);
+	assert.ok(Math.min(...counts) < least, `requests in the last ${seconds} s: ${counts.join(', ')}`);
 });
 
-Then('the leader was called less than {int} times a second', function (this: FleetWorld, limit: number) {
+Then('the leader receives fewer than {int} calls per second', function (this: FleetWorld, limit: number) {
 	const perSecond = this.fleet.calls * msPerSecond / this.fleet.time.clock.now();
 	assert.ok(perSecond < limit, `${perSecond} calls a second`);
 });
 
-Then('at least {float} of the requests in the last {int} s were urgent', function (this: FleetWorld, share: number, seconds: number) {
-	const got = this.fleet.listArrivals(0, this.fleet.time.clock.now() - (seconds * msPerSecond));
-	const urgent = got.filter(({urgency}) => urgency === 0);
-	assert.ok(urgent.length >= share * got.length, `${urgent.length} of ${got.length} were urgent`);
+Then('at least {float} of the requests that an endpoint receives in the last {int} s are urgent', function (this: FleetWorld, share: number, seconds: number) {
+	const arrivals = this.fleet.listArrivals(0, this.fleet.time.clock.now() - (seconds * msPerSecond));
+	const urgent = arrivals.filter(({urgency}) => urgency === 0);
+	assert.ok(urgent.length >= share * arrivals.length, `${urgent.length} of ${arrivals.length} were urgent`);
 });
 
-When('no leader answers any more', function (this: FleetWorld) {
-	this.fleet.loseLeader();
+When('the leader stops answering', function (this: FleetWorld) {
+	this.fleet.removeLeader();
 });
 
-Then('nobody was refused after it had waited', function (this: FleetWorld) {
+Then('no request is refused after waiting', function (this: FleetWorld) {
 	assert.equal(this.fleet.refusedLate, 0);
 });
 
-Then('some endpoint got more than {int} requests in {int} s', function (this: FleetWorld, limit: number, seconds: number) {
-	const most = listIndexes(this).map(index => this.fleet.countMost(index, seconds * msPerSecond, 500));
-	assert.ok(Math.max(...most) > limit, `the most requests in ${seconds} s: ${most.join(', ')}`);
+Then('some endpoint receives more than {int} requests in {int} s', function (this: FleetWorld, limit: number, seconds: number) {
+	const most = listIndexes(this).map(index => this.fleet.countMaxWithin(index, seconds * msPerSecond, 500));
+	assert.ok(Math.max(...most) > limit, `maximum number of requests in ${seconds} s: ${most.join(', ')}`);
 });
--- a/packages/mastvalve-proofs/__tests__/endpoint-limits.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/endpoint-limits.proofs.ts
@@ -40,22 +40,22 @@
 const disturb = (fleet: LimitedFleet, entries: number, {kind, pick}: LimitCase['steps'][number]): void => {
 	const actions: Record<Disturbance, () => void> = {
 		[Disturbance.LoseLeader]() {
-			fleet.loseLeader();
+			fleet.removeLeader();
 		},
 		[Disturbance.Elect]() {
-			fleet.elect();
+			fleet.electLeader();
 		},
 		[Disturbance.Cut]() {
-			fleet.cut(1 / 3, true);
+			fleet.setDisconnected(1 / 3, true);
 		},
 		[Disturbance.Heal]() {
-			fleet.cut(1, false);
+			fleet.setDisconnected(1, false);
 		},
 		[Disturbance.Restart]() {
 			fleet.restart(pick % entries);
 		},
 		[Disturbance.Rename]() {
-			fleet.name(0, words[pick % words.length]);
+			fleet.setLimitHeader(0, words[pick % words.length]);
 		},
 	};
 	actions[kind]();
@@ -63,8 +63,8 @@
 
 /** From entries that had been told, the endpoint got no more than one and a half times what its newest limit allows, and five. */
 const assertKept = (fleet: LimitedFleet): void => {
-	const perSecond = Number(fleet.wordOf(0));
-	const most = fleet.countMostTold(0, spanMs);
+	const perSecond = Number(fleet.getLimitHeader(0));
+	const most = fleet.countMaxFromInformedEntries(0, spanMs);
 	const allowed = (1.5 * perSecond * spanMs / 1000) + 5;
 	assert.ok(most <= allowed, `${most} requests in ${spanMs} ms with a limit of ${perSecond}; ${allowed} are allowed`);
 };
@@ -73,16 +73,16 @@
 export const playCase = async ({perSecond, steps, ...options}: LimitCase, fault: LimitFault): Promise<void> => {
 	const fleet = new LimitedFleet({...options, endpoints: 1, fault});
 	try {
-		await fleet.load(load, stepMs * 4);
-		fleet.name(0, words[perSecond]);
-		await fleet.load(load, stepMs);
+		await fleet.runLoad(load, stepMs * 4);
+		fleet.setLimitHeader(0, words[perSecond]);
+		await fleet.runLoad(load, stepMs);
 		await steps.reduce<Promise<void>>(async (before, step) => {
 			await before;
 			assertKept(fleet);
 			disturb(fleet, options.entries, step);
-			await fleet.load(load, stepMs);
+			await fleet.runLoad(load, stepMs);
 		}, Promise.resolve());
-		await fleet.load(load, spanMs);
+		await fleet.runLoad(load, spanMs);
 		assertKept(fleet);
 	} finally {
 		fleet.close();
@@ -98,9 +98,9 @@
 	checkProperty(cases, async each => playCase(each, variant === Variant.Real ? LimitFault.None : broken), {...run, variant});
 
 const twins: ReadonlyArray<[LimitFault, string]> = [
-	[LimitFault.EachForItself, 'each entry keeps to the limit by what it sends itself'],
-	[LimitFault.Untold, 'what an entry hears of a limit is told to nobody'],
-	[LimitFault.AnyAnswerEnds, 'any answer that names no limit ends it'],
+	[LimitFault.CountsLocally, 'each entry keeps to the limit by what it sends itself'],
+	[LimitFault.DropsReports, 'what an entry hears of a limit is told to nobody'],
+	[LimitFault.AnyAnswerEndsLimit, 'any answer that names no limit ends it'],
 ];
 
 /** The proofs. */
@@ -109,5 +109,5 @@
 	failure: 'an endpoint names limits while leaders are lost and follow each other, and entries are cut off and restarted',
 	scenario: 'all entries together keep to the limit that an endpoint has named',
 	twin,
-	run: runLimits(fault, fault === LimitFault.AnyAnswerEnds ? lateAnswers : limitCase),
+	run: runLimits(fault, fault === LimitFault.AnyAnswerEndsLimit ? lateAnswers : limitCase),
 }));
