--- a/packages/mastvalve-claims/src/claim-decision.ts
+++ b/packages/mastvalve-claims/src/claim-decision.ts
@@ -1,30 +1,29 @@
 /**
- * What the claim table answers.
+ * Decisions of the claim table.
  */
 
 import type {KeptAnswer} from 'mastvalve-types';
 
-/** Kinds of answers to a claim request. */
 export enum ClaimDecisionKind {
-	/** This attempt holds the key: dispatch once. */
+	/** The attempt holds the key and may be dispatched once. */
 	Granted = 'granted',
-	/** Another attempt holds it and may be running. */
+	/** Another attempt holds the key and may still be running. */
 	Running = 'running',
-	/** It ran; the answer is kept. */
+	/** The call has run; its answer is returned if it was stored. */
 	Done = 'done',
-	/** It may have run and is not repeated. */
+	/** The call may have run and is not repeated. */
 	Unknown = 'unknown',
-	/** The key was used for another request. */
+	/** The key was used for a different request. */
 	Mismatch = 'mismatch',
-	/** The key is older than what is kept; not run. */
+	/** The key was issued before the retention period; the call is not run. */
 	TooOld = 'too-old',
-	/** The key claims to be issued in the future; not run. */
+	/** The key's issue time is too far in the future; the call is not run. */
 	TooNew = 'too-new',
-	/** The table is full; not run. */
+	/** The table is at capacity; the call is not run. */
 	Full = 'full',
 }
 
-/** An answer to a claim request. */
+/** Decision on a claim request. `token` is the log index of the granted request. */
 export type ClaimDecision
 	= | {kind: ClaimDecisionKind.Granted; token: number}
 		| {kind: ClaimDecisionKind.Done; answer?: KeptAnswer}
--- a/packages/mastvalve-claims/src/claim-request.ts
+++ b/packages/mastvalve-claims/src/claim-request.ts
@@ -1,20 +1,21 @@
 /**
- * What is asked of the claim table.
+ * Requests to the claim table.
  */
 
 import type {ClaimStatus, KeptAnswer} from 'mastvalve-types';
 
-/** Asks to hold a key for one attempt. */
+/** Request to claim a key for one attempt. */
 export type ClaimRequest = {
 	key: string;
 	digest: string;
 	attempt: string;
+	/** When the key was issued, ms since the epoch. */
 	issuedAt: number;
-	/** After this time (ms since the epoch) a call without an outcome counts as unknown. */
+	/** Time after which the outcome of a call that is still running counts as unknown, ms since the epoch. */
 	expiresAt: number;
 };
 
-/** Tells how an attempt ended. */
+/** Reports the outcome of an attempt. */
 export type ClaimCompletion = {
 	key: string;
 	attempt: string;
--- a/packages/mastvalve-claims/src/claim-table.ts
+++ b/packages/mastvalve-claims/src/claim-table.ts
@@ -1,32 +1,31 @@
 /**
- * Claims on keys that must run at most once, as deterministic replicated state.
+ * Deterministic replicated table of claims on the keys of calls that must run at most once.
  *
- * A key is remembered for the whole retention counted from its issue time, and one issued longer ago is refused as
- * not run. So forgetting a key can never let its call run again.
+ * A claim is kept for the retention period, counted from the issue time of its key, and a key issued before that period is
+ * rejected as not run. Expiry of a claim therefore never allows its call to run again.
  */
 
 import {ClaimStatus, type Claim} from 'mastvalve-types';
 import {ClaimDecisionKind, type ClaimDecision} from './claim-decision.js';
 import type {ClaimCompletion, ClaimRequest} from './claim-request.js';
 
-/** Limits of a table. */
 export type ClaimLimits = {
-	/** How long keys are kept, ms from their issue. */
+	/** Retention period of a claim, ms from the issue time of its key. */
 	retentionMs: number;
-	/** How far ahead an issue time may be, ms. */
+	/** Maximum time by which a key's issue time may be in the future, ms. */
 	maxIssuedAheadMs: number;
 	maxClaims: number;
 };
 
-/** The decisions on which "at most once" rests, as functions so that proofs can hand in broken ones. */
+/** Decisions on which at-most-once execution depends. They are functions so that the proofs can inject faulty ones. */
 export type ClaimRules = {
-	/** Whether a key in this state may be claimed by another attempt. */
+	/** Whether another attempt may claim a key with this status. */
 	mayReclaim: (status: ClaimStatus) => boolean;
-	/** Whether a key is too old to be told from a forgotten one. */
+	/** Whether a key is so old that its claim may already have been removed. */
 	isTooOld: (issuedAt: number, now: number, retentionMs: number) => boolean;
 };
 
-/** Only what is known not to have run may run again. */
+/** Allows another attempt only for calls that are known not to have run. */
 export const defaultClaimRules: ClaimRules = {
 	mayReclaim: status => status === ClaimStatus.NotRun,
 	isTooOld: (issuedAt, now, retentionMs) => issuedAt <= now - retentionMs,
@@ -34,13 +33,13 @@
 
 type StoredClaim = Claim & {token: number};
 
-/** The table as plain data. */
+/** Snapshot of the table as serializable data. */
 export type ClaimTableData = StoredClaim[];
 
-/** Expired claims that one request may clear away, so that no request pays for all. */
-const sweepsPerRequest = 4;
+/** Maximum number of claims checked for expiry per request, so that no single request bears the cost of all. */
+const maxSweptPerRequest = 4;
 
-/** The claims. */
+/** Holds the claims by key. */
 export class ClaimTable {
 	private readonly claims = new Map<string, StoredClaim>();
 
@@ -50,9 +49,9 @@
 		return this.claims.size;
 	}
 
-	/** Asks for a key. `token` is the log index of the request; `now` the log's time, ms since the epoch. */
+	/** Claims a key. `token` is the log index of the request; `now` is the time recorded in the log, ms since the epoch. */
 	begin(request: ClaimRequest, token: number, now: number): ClaimDecision {
-		this.sweep(now);
+		this.sweepExpired(now);
 		if (this.rules.isTooOld(request.issuedAt, now, this.limits.retentionMs)) {
 			return {kind: ClaimDecisionKind.TooOld};
 		}
@@ -63,7 +62,7 @@
 
 		const claim = this.claims.get(request.key);
 		if (claim) {
-			return this.beginAgain(claim, request, token, now);
+			return this.beginForKnownKey(claim, request, token, now);
 		}
 
 		if (this.claims.size >= this.limits.maxClaims) {
@@ -74,19 +73,18 @@
 		return {kind: ClaimDecisionKind.Granted, token};
 	}
 
-	/** Records how an attempt ended; false when it no longer holds the key. */
-	finish(end: ClaimCompletion): boolean {
-		const claim = this.claims.get(end.key);
-		const mayEnd = claim?.attempt === end.attempt && (claim.status === ClaimStatus.Running || claim.status === ClaimStatus.Unknown);
-		if (!claim || !mayEnd) {
+	/** Records the outcome of an attempt. Returns false when the attempt does not hold the key or its outcome is already final. */
+	finish(completion: ClaimCompletion): boolean {
+		const claim = this.claims.get(completion.key);
+		const canFinish = claim?.attempt === completion.attempt && (claim.status === ClaimStatus.Running || claim.status === ClaimStatus.Unknown);
+		if (!claim || !canFinish) {
 			return false;
 		}
 
-		this.claims.set(end.key, {...claim, status: end.status, ...(end.answer ? {answer: end.answer} : {})});
+		this.claims.set(completion.key, {...claim, status: completion.status, ...(completion.answer ? {answer: completion.answer} : {})});
 		return true;
 	}
 
-	/** What is kept of a key. */
 	read(key: string): Claim | undefined {
 		return this.claims.get(key);
 	}
@@ -102,25 +100,25 @@
 		});
 	}
 
-	private beginAgain(claim: StoredClaim, request: ClaimRequest, token: number, now: number): ClaimDecision {
+	private beginForKnownKey(claim: StoredClaim, request: ClaimRequest, token: number, now: number): ClaimDecision {
 		const isSameAttempt = claim.attempt === request.attempt;
 		if (isSameAttempt && claim.status === ClaimStatus.Running) {
-			// The grant's answer was lost, and the same attempt asks again.
+			// The response to the grant was lost and the same attempt retries.
 			return {kind: ClaimDecisionKind.Granted, token: claim.token};
 		}
 
-		// An attempt that has ended never starts again, whatever arrives late.
+		// A late or duplicate request never restarts an attempt that has ended.
 		if (isSameAttempt || claim.digest !== request.digest || !this.rules.mayReclaim(claim.status)) {
-			return decideRepeat(claim, request, now);
+			return decideForExistingClaim(claim, request, now);
 		}
 
 		this.claims.set(request.key, {...request, status: ClaimStatus.Running, token});
 		return {kind: ClaimDecisionKind.Granted, token};
 	}
 
-	private sweep(now: number): void {
-		takeFirst(this.claims.values(), sweepsPerRequest).forEach(claim => {
-			// Put back to the end when it is to stay, so that the sweep goes round.
+	private sweepExpired(now: number): void {
+		takeFirst(this.claims.values(), maxSweptPerRequest).forEach(claim => {
+			// Unexpired claims move to the end of the map, so that successive sweeps cover the whole table.
 			this.claims.delete(claim.key);
 			if (claim.issuedAt > now - this.limits.retentionMs) {
 				this.claims.set(claim.key, claim);
@@ -130,9 +128,9 @@
 }
 
 const takeFirst = <T>(iterator: Iterator<T>, count: number): T[] =>
-	Array.from({length: count}, () => iterator.next()).filter(step => !step.done).map(step => step.value);
+	Array.from({length: count}, () => iterator.next()).filter(result => !result.done).map(result => result.value);
 
-const decideRepeat = (claim: Claim, request: ClaimRequest, now: number): ClaimDecision => {
+const decideForExistingClaim = (claim: Claim, request: ClaimRequest, now: number): ClaimDecision => {
 	if (claim.digest !== request.digest) {
 		return {kind: ClaimDecisionKind.Mismatch};
 	}
@@ -141,6 +139,6 @@
 		return {kind: ClaimDecisionKind.Done, ...(claim.answer ? {answer: claim.answer} : {})};
 	}
 
-	const isLost = claim.status === ClaimStatus.Unknown || now > claim.expiresAt;
-	return {kind: isLost ? ClaimDecisionKind.Unknown : ClaimDecisionKind.Running};
+	const isOutcomeUnknown = claim.status === ClaimStatus.Unknown || now > claim.expiresAt;
+	return {kind: isOutcomeUnknown ? ClaimDecisionKind.Unknown : ClaimDecisionKind.Running};
 };
--- a/packages/mastvalve-claims/src/index.ts
+++ b/packages/mastvalve-claims/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * At-most-once claims: deterministic state to be driven by a replicated log.
+ * At-most-once claims as a deterministic state machine for a replicated log.
  */
 
 export * from './claim-decision.js';
--- a/packages/mastvalve-replication/src/effects.ts
+++ b/packages/mastvalve-replication/src/effects.ts
@@ -1,5 +1,5 @@
 /**
- * What a replica wants done after it was stepped.
+ * Effects of a replica's inputs, for its driver to carry out.
  */
 
 import type {HardState} from './hard-state.js';
@@ -7,22 +7,22 @@
 import type {Message} from './message.js';
 import type {Snapshot} from './snapshot.js';
 
-/** What must be durable, in this order: snapshot, then truncation, then new entries, with the hard state. */
+/** State to make durable atomically; it applies in the order snapshot, truncation, new entries, and includes the hard state. */
 export type DurableWrite = {
 	hardState?: HardState;
-	/** A snapshot that replaces all that is stored; the entries behind it follow in `append`. */
+	/** Snapshot that replaces the stored log; the entries after it are in `append`. */
 	snapshot?: Snapshot;
-	/** Stored entries from this index on are void. */
+	/** First index of the stored entries to discard. */
 	truncateFrom?: number;
 	append: LogEntry[];
 };
 
-/** Carried out in this order: write and sync, then send, then apply. */
+/** To be carried out in this order: write and sync, send, apply. */
 export type Effects = {
 	write: DurableWrite | undefined;
 	messages: Message[];
-	/** A snapshot that the state machine must be set to, before `committed`. */
+	/** Snapshot to restore into the state machine before `committed` is applied. */
 	snapshotToRestore: Snapshot | undefined;
-	/** Entries to apply, in order. */
+	/** Newly committed entries, in log order. */
 	committed: LogEntry[];
 };
--- a/packages/mastvalve-replication/src/entry-size.ts
+++ b/packages/mastvalve-replication/src/entry-size.ts
@@ -1,20 +1,20 @@
 /**
- * How large entries are when they travel, so that what is sent at once is bounded in bytes and not only by number.
+ * Sizes of encoded log entries, by which messages are bounded in bytes as well as in number of entries.
  */
 
 import type {LogEntry} from './log-entry.js';
 
-/** Sizes are worked out once an entry: it goes to each replica, and again after a loss. */
-const known = new WeakMap<LogEntry, number>();
+/** Sizes by entry: an entry is sent to every replica and resent after a loss, but encoded for measuring only once. */
+const sizeCache = new WeakMap<LogEntry, number>();
 
-/** Length of an entry as JSON, characters. */
+/** Returns the length of an entry as JSON, in characters. */
 export const estimateEntrySize = (entry: LogEntry): number => {
-	const size = known.get(entry) ?? JSON.stringify(entry).length;
-	known.set(entry, size);
+	const size = sizeCache.get(entry) ?? JSON.stringify(entry).length;
+	sizeCache.set(entry, size);
 	return size;
 };
 
-/** The first items whose sizes sum up to at most `limit`; at least one, when there is any. */
+/** Returns the longest prefix of `items` whose total size is at most `limit`. A first item above the limit is returned alone. */
 export const takeUpToSize = <T>(items: readonly T[], sizeOf: (item: T) => number, limit: number): T[] => {
 	let sum = 0;
 	const end = items.findIndex((item, index) => {
--- a/packages/mastvalve-replication/src/file-system.ts
+++ b/packages/mastvalve-replication/src/file-system.ts
@@ -1,5 +1,5 @@
 /**
- * The few file effects that storage needs, behind an interface whose every step can be made to fail in tests.
+ * File operations that storage needs, behind an interface so that tests can make each of them fail.
  */
 
 import {
@@ -7,21 +7,21 @@
 } from 'node:fs/promises';
 import {join} from 'node:path';
 
-/** A file that is only appended to. */
+/** Append-only file. */
 export type AppendFile = {
 	append: (bytes: Uint8Array) => Promise<void>;
-	/** Durable once this returns. */
+	/** Makes all appended bytes durable. */
 	sync: () => Promise<void>;
 	close: () => Promise<void>;
 };
 
-/** One folder of files, without subfolders. */
+/** Files of one directory, without subdirectories. */
 export type FileSystem = {
-	/** Names in the folder; the folder is made if it isn't there. */
+	/** Lists the file names, creating the directory if it does not exist. */
 	list: () => Promise<string[]>;
 	read: (name: string) => Promise<Uint8Array>;
 	openForAppend: (name: string) => Promise<AppendFile>;
-	/** Cuts a file to `size` bytes and syncs it. */
+	/** Truncates a file to `size` bytes and syncs it. */
 	truncate: (name: string, size: number) => Promise<void>;
 	rename: (from: string, to: string) => Promise<void>;
 	remove: (name: string) => Promise<void>;
@@ -29,15 +29,15 @@
 	syncDirectory: () => Promise<void>;
 };
 
-/** The files of this machine. */
-export const createFileSystem = (folder: string): FileSystem => ({
+/** Creates a file system for a directory of this instance. */
+export const createFileSystem = (directory: string): FileSystem => ({
 	async list() {
-		await mkdir(folder, {recursive: true});
-		return readdir(folder);
+		await mkdir(directory, {recursive: true});
+		return readdir(directory);
 	},
-	read: async name => readFile(join(folder, name)),
+	read: async name => readFile(join(directory, name)),
 	async openForAppend(name) {
-		const handle = await open(join(folder, name), 'a');
+		const handle = await open(join(directory, name), 'a');
 		return {
 			async append(bytes) {
 				await handle.appendFile(bytes);
@@ -47,15 +47,15 @@
 		};
 	},
 	async truncate(name, size) {
-		await truncate(join(folder, name), size);
-		const handle = await open(join(folder, name), 'r+');
+		await truncate(join(directory, name), size);
+		const handle = await open(join(directory, name), 'r+');
 		await handle.sync();
 		await handle.close();
 	},
-	rename: async (from, to) => rename(join(folder, from), join(folder, to)),
-	remove: async name => unlink(join(folder, name)),
+	rename: async (from, to) => rename(join(directory, from), join(directory, to)),
+	remove: async name => unlink(join(directory, name)),
 	async syncDirectory() {
-		const handle = await open(folder, 'r');
+		const handle = await open(directory, 'r');
 		await handle.sync();
 		await handle.close();
 	},
--- a/packages/mastvalve-replication/src/hard-state.ts
+++ b/packages/mastvalve-replication/src/hard-state.ts
@@ -1,10 +1,10 @@
 /**
- * The part of a replica's state besides the log that must be durable before it answers.
+ * The state besides the log that must be durable before a replica responds to a message.
  */
 
 import type {ReplicaId} from './membership.js';
 
-/** Term and vote. */
+/** Current term and the vote granted in it. */
 export type HardState = {
 	term: number;
 	votedFor?: ReplicaId;
--- a/packages/mastvalve-replication/src/index.ts
+++ b/packages/mastvalve-replication/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * A replicated log to embed: a pure Raft state machine, a durable journal, and a node that runs them.
+ * Embeddable replicated log: Raft as a pure state machine, a durable journal, and a node that drives both.
  */
 
 export type * from './effects.js';
--- a/packages/mastvalve-replication/src/journal-codec.ts
+++ b/packages/mastvalve-replication/src/journal-codec.ts
@@ -1,8 +1,8 @@
 /**
- * Records of the journal: one line each, a CRC-32 in hex, a space, and JSON.
+ * Encoding of journal records: one line each, consisting of a CRC-32 in hex, a space and JSON.
  *
- * Everything that one write makes durable is one record. So a torn write damages the last record only, and a damaged
- * record with a valid one behind it is never a torn write: storage refuses it rather than guess.
+ * Each write is a single record, so a torn write can damage only the last one. A damaged record that is followed by a
+ * valid one is therefore corruption, and the journal is refused rather than repaired by guessing.
  */
 
 import {Buffer} from 'node:buffer';
@@ -11,29 +11,29 @@
 import {StorageError} from 'mastvalve-types';
 import type {DurableWrite} from './effects.js';
 
-/** Version of the format; a newer one is refused. */
+/** Version of the journal format; journals with a newer version are refused. */
 export const journalFormat = 1;
 
-/** The first record of a journal. */
+/** First record of a journal. */
 export type JournalHeader = {
 	format: number;
-	/** Whose journal this is. */
+	/** Name of the instance that owns the journal. */
 	replica: string;
-	/** The disk part of its identity. */
+	/** Disk part of the replica's identity. */
 	disk: string;
-	/** Identity of the replicated log, once it is known. */
+	/** Identity of the replicated log; undefined until the replica has formed or joined one. */
 	clusterId: string | undefined;
-	/** Voters with which the log began. */
+	/** Voters with which the log was formed. */
 	initialVoters: string[];
-	/** Whether this replica may begin a log; a disk that was empty when the system already ran must join one. */
+	/** Whether this replica may form a new log. A replica whose disk was empty while the system was already running must join the existing one. */
 	mayBegin?: boolean;
 };
 
-/** What a journal file holds. */
+/** Decoded content of a journal file. */
 export type JournalContent = {
 	header: JournalHeader | undefined;
 	writes: DurableWrite[];
-	/** Bytes up to the end of the last whole record. */
+	/** Length of the valid records, in bytes. */
 	validBytes: number;
 	totalBytes: number;
 };
@@ -41,22 +41,22 @@
 const checksumLength = 8;
 const newline = 0x0A;
 
-/** Encodes one record. */
+/** Encodes a record as one line, including its newline. */
 export const encodeRecord = (record: JournalHeader | DurableWrite): Uint8Array => {
 	const json = Buffer.from(JSON.stringify(record));
 	const checksum = crc32(json).toString(16).padStart(checksumLength, '0');
 	return Buffer.concat([Buffer.from(`${checksum} `), json, Buffer.from('\n')]);
 };
 
-/** Decodes a line without its newline; undefined when it is damaged. */
+/** Decodes a line without its newline. Returns undefined when the line is damaged. */
 const decodeLine = (line: Uint8Array): unknown => {
 	const checksum = Buffer.from(line.subarray(0, checksumLength)).toString('latin1');
 	const json = line.subarray(checksumLength + 1);
-	const isWhole = line.length > checksumLength + 1 && crc32(json).toString(16).padStart(checksumLength, '0') === checksum;
-	return isWhole ? JSON.parse(Buffer.from(json).toString()) as unknown : undefined;
+	const isIntact = line.length > checksumLength + 1 && crc32(json).toString(16).padStart(checksumLength, '0') === checksum;
+	return isIntact ? JSON.parse(Buffer.from(json).toString()) as unknown : undefined;
 };
 
-/** Decodes a journal. A damaged tail is left out; damage before a valid record is an error. */
+/** Decodes a journal, omitting a damaged tail. Throws a `StorageError` when damage precedes a valid record. */
 export const decodeJournal = (name: string, bytes: Uint8Array): JournalContent => {
 	const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 	const records: unknown[] = [];
--- a/packages/mastvalve-replication/src/journal.ts
+++ b/packages/mastvalve-replication/src/journal.ts
@@ -1,8 +1,8 @@
 /**
- * Durable storage of one replica: a journal of checksummed records, synced before anything is answered.
+ * Durable storage of one replica: a journal of checksummed records, each synced before the replica responds.
  *
- * The newest `journal-N` holds all: a header, then one record for each write. Compaction writes the next one whole
- * under a temporary name, syncs it, renames it, and only then removes the older.
+ * The newest `journal-N` is complete: a header, then one record per write. Compaction writes and syncs the next file under
+ * a temporary name, renames it, and only then removes the previous one.
  */
 
 import {StorageError} from 'mastvalve-types';
@@ -16,16 +16,16 @@
 
 const journalPattern = /^journal-(?<number>\d+)$/v;
 
-/** A journal is not compacted for its size below this, bytes: an eighth of the smallest disks met (64 MB). */
-const minLargeBytes = 8_000_000;
-/** Above that it is large at this many times its size after the last compaction, so that compacting costs a fixed share of what is written. */
-const largeFactor = 4;
+/** Size below which a journal is not compacted early, bytes: an eighth of the smallest disks in use (64 MB). */
+const minCompactionBytes = 8_000_000;
+/** Growth since the last compaction at which a journal is compacted, as a factor, so that compaction costs a fixed share of the bytes written. */
+const compactionGrowthFactor = 4;
 
-const formatName = (number: number): string => `journal-${number}`;
+const formatFileName = (fileNumber: number): string => `journal-${fileNumber}`;
 
-const numberOf = (name: string): number => Number(journalPattern.exec(name)?.groups?.number ?? -1);
+const parseFileNumber = (name: string): number => Number(journalPattern.exec(name)?.groups?.number ?? -1);
 
-/** Plays writes back into the state that they left. */
+/** Rebuilds the state of a replica from its writes. */
 export const replayWrites = (writes: readonly DurableWrite[]): RestoredState =>
 	writes.reduce<RestoredState>((state, write) => {
 		const kept = write.snapshot
@@ -61,79 +61,81 @@
 	return header;
 };
 
-/** What an open journal consists of. */
 type JournalParts = {
 	files: FileSystem;
 	file: AppendFile;
-	number: number;
+	fileNumber: number;
 	header: JournalHeader;
 	writes: DurableWrite[];
 	truncatedBytes: number;
-	/** Bytes of whole records. */
-	size: number;
+	/** Length of the valid records. */
+	sizeBytes: number;
 };
 
-/** An open journal. */
+/** Open journal of one replica. */
 export class Journal {
-	/** Opens the journal in a folder; undefined when there is none. */
+	/**
+	 * Opens the newest journal in a directory and truncates a torn last record. Returns undefined when there is none. Throws a
+	 * `StorageError` when the journal is damaged, has a newer format, or belongs to another instance.
+	 */
 	static async open(files: FileSystem, replica: string): Promise<Journal | undefined> {
 		const names = await files.list();
-		const number = Math.max(-1, ...names.map(numberOf));
-		if (number < 0) {
+		const fileNumber = Math.max(-1, ...names.map(parseFileNumber));
+		if (fileNumber < 0) {
 			return undefined;
 		}
 
-		const name = formatName(number);
+		const name = formatFileName(fileNumber);
 		const content = decodeJournal(name, await files.read(name));
 		const header = checkHeader(name, content.header, replica);
-		await cutTornTail(files, name, content);
-		await removeOlder(files, names, number);
+		await truncateTornTail(files, name, content);
+		await removeOlderFiles(files, names, fileNumber);
 		const file = await files.openForAppend(name);
 		return new Journal({
-			files, file, number, header, writes: content.writes, truncatedBytes: content.totalBytes - content.validBytes, size: content.validBytes,
+			files, file, fileNumber, header, writes: content.writes, truncatedBytes: content.totalBytes - content.validBytes, sizeBytes: content.validBytes,
 		});
 	}
 
-	/** Makes a journal in an empty folder. */
+	/** Creates a journal in an empty directory. */
 	static async create(files: FileSystem, header: JournalHeader): Promise<Journal> {
 		await files.list();
-		const {file, size} = await writeWhole(files, 0, header, {append: []});
+		const {file, sizeBytes} = await writeJournalFile(files, 0, header, {append: []});
 		return new Journal({
-			files, file, number: 0, header, writes: [], truncatedBytes: 0, size,
+			files, file, fileNumber: 0, header, writes: [], truncatedBytes: 0, sizeBytes,
 		});
 	}
 
 	readonly restored: RestoredState;
-	/** Bytes of a torn last record that were cut. */
+	/** Length of the torn last record that was truncated on opening, in bytes. */
 	readonly truncatedBytes: number;
 	header: JournalHeader;
 	private readonly files: FileSystem;
 	private file: AppendFile;
-	private number: number;
-	private size: number;
-	/** Size after the last compaction of this life; 0 before it, so that a large journal of a former life is compacted soon. */
-	private compactedSize = 0;
-	/** Whether a failed write may have left bytes behind the last whole record. */
-	private isTailDirty = false;
+	private fileNumber: number;
+	private sizeBytes: number;
+	/** Size after the last compaction by this process; 0 before it, so that a large journal of an earlier process is compacted soon. */
+	private compactedSizeBytes = 0;
+	/** Whether a failed write may have left bytes after the last valid record. */
+	private mayHaveTornTail = false;
 
 	private constructor(parts: JournalParts) {
 		this.files = parts.files;
 		this.file = parts.file;
-		this.number = parts.number;
-		this.size = parts.size;
+		this.fileNumber = parts.fileNumber;
+		this.sizeBytes = parts.sizeBytes;
 		this.header = parts.header;
 		this.restored = replayWrites(parts.writes);
 		this.truncatedBytes = parts.truncatedBytes;
 	}
 
-	/** Whether compacting it would make it much smaller. */
+	/** Whether the journal has grown enough that compaction would reduce it substantially. */
 	get needsCompaction(): boolean {
-		return this.size > Math.max(minLargeBytes, largeFactor * this.compactedSize);
+		return this.sizeBytes > Math.max(minCompactionBytes, compactionGrowthFactor * this.compactedSizeBytes);
 	}
 
 	/**
-	 * Makes a write durable. After an error it may be tried again, and nothing else may be written before: what a failed
-	 * try has left behind the last whole record is cut first.
+	 * Makes a write durable. After an error the same write may be retried, and no other write may precede the retry. Bytes
+	 * that the failed attempt left after the last valid record are truncated first.
 	 */
 	async persist(write: DurableWrite): Promise<void> {
 		if (write.snapshot) {
@@ -141,19 +143,19 @@
 			return;
 		}
 
-		if (this.isTailDirty) {
-			await this.files.truncate(formatName(this.number), this.size);
+		if (this.mayHaveTornTail) {
+			await this.files.truncate(formatFileName(this.fileNumber), this.sizeBytes);
 		}
 
 		const record = encodeRecord(write);
-		this.isTailDirty = true;
+		this.mayHaveTornTail = true;
 		await this.file.append(record);
 		await this.file.sync();
-		this.size += record.length;
-		this.isTailDirty = false;
+		this.sizeBytes += record.length;
+		this.mayHaveTornTail = false;
 	}
 
-	/** Records which log this replica belongs to; before that, it holds only its identity. */
+	/** Records which replicated log this replica belongs to. Until then, the journal holds only the replica's identity. */
 	async recordCluster(clusterId: string, initialVoters: string[]): Promise<void> {
 		this.header = {...this.header, clusterId, initialVoters};
 		await this.compact({append: []});
@@ -164,20 +166,20 @@
 	}
 
 	private async compact(write: DurableWrite): Promise<void> {
-		const {file, size} = await writeWhole(this.files, this.number + 1, this.header, write);
-		const former = {file: this.file, name: formatName(this.number)};
+		const {file, sizeBytes} = await writeJournalFile(this.files, this.fileNumber + 1, this.header, write);
+		const previous = {file: this.file, name: formatFileName(this.fileNumber)};
 		this.file = file;
-		this.size = size;
-		this.compactedSize = size;
-		this.isTailDirty = false;
-		this.number += 1;
-		await former.file.close();
-		await this.files.remove(former.name);
+		this.sizeBytes = sizeBytes;
+		this.compactedSizeBytes = sizeBytes;
+		this.mayHaveTornTail = false;
+		this.fileNumber += 1;
+		await previous.file.close();
+		await this.files.remove(previous.name);
 	}
 }
 
-const writeWhole = async (files: FileSystem, number: number, header: JournalHeader, write: DurableWrite): Promise<{file: AppendFile; size: number}> => {
-	const temporary = `${formatName(number)}.tmp`;
+const writeJournalFile = async (files: FileSystem, fileNumber: number, header: JournalHeader, write: DurableWrite): Promise<{file: AppendFile; sizeBytes: number}> => {
+	const temporary = `${formatFileName(fileNumber)}.tmp`;
 	const names = await files.list();
 	if (names.includes(temporary)) {
 		await files.remove(temporary);
@@ -189,18 +191,18 @@
 	await file.append(headerRecord);
 	await file.append(writeRecord);
 	await file.sync();
-	await files.rename(temporary, formatName(number));
+	await files.rename(temporary, formatFileName(fileNumber));
 	await files.syncDirectory();
-	return {file, size: headerRecord.length + writeRecord.length};
+	return {file, sizeBytes: headerRecord.length + writeRecord.length};
 };
 
-const cutTornTail = async (files: FileSystem, name: string, content: JournalContent): Promise<void> => {
+const truncateTornTail = async (files: FileSystem, name: string, content: JournalContent): Promise<void> => {
 	if (content.validBytes < content.totalBytes) {
 		await files.truncate(name, content.validBytes);
 	}
 };
 
-const removeOlder = async (files: FileSystem, names: string[], number: number): Promise<void> => {
-	const older = names.filter(name => numberOf(name) >= 0 && numberOf(name) < number);
+const removeOlderFiles = async (files: FileSystem, names: string[], fileNumber: number): Promise<void> => {
+	const older = names.filter(name => parseFileNumber(name) >= 0 && parseFileNumber(name) < fileNumber);
 	await Promise.all(older.map(async name => files.remove(name)));
 };
--- a/packages/mastvalve-replication/src/log-entry.ts
+++ b/packages/mastvalve-replication/src/log-entry.ts
@@ -4,17 +4,16 @@
 
 import type {Membership} from './membership.js';
 
-/** What an entry is for. */
 export enum EntryKind {
 	/** A command for the state machine. */
 	Command = 'command',
-	/** A leader's first entry; it commits what earlier terms left. */
+	/** First entry of a new leader; committing it also commits the remaining entries of earlier terms. */
 	NoOp = 'no-op',
-	/** A new membership, in force from the moment that it is appended. */
+	/** New membership, effective as soon as it is appended. */
 	Membership = 'membership',
 }
 
-/** One entry; `index` counts from 1. */
+/** Log entry; `index` starts at 1. */
 export type LogEntry = {index: number; term: number} & (
 	| {kind: EntryKind.Command; command: unknown}
 	| {kind: EntryKind.NoOp}
--- a/packages/mastvalve-replication/src/log-node.ts
+++ b/packages/mastvalve-replication/src/log-node.ts
@@ -1,8 +1,7 @@
 /**
- * Runs a replica: takes inputs, makes writes durable, sends messages, applies entries, answers proposals.
+ * Drives a replica: processes inputs, makes writes durable, sends messages, applies entries and resolves proposals.
  *
- * Inputs that arrive while a write is under way wait and go into the next round together; so one sync carries many
- * proposals.
+ * Inputs that arrive during a write are queued and processed as one batch, so that one sync covers many proposals.
  */
 
 import {MastvalveError, NotLeaderError, Outcome} from 'mastvalve-types';
@@ -15,35 +14,34 @@
 import type {Replica} from './replica.js';
 import {Role} from './replica-core.js';
 
-/** The state machine that the log drives; deterministic. */
+/** Deterministic state machine to which committed commands are applied. */
 export type StateMachine = {
-	/** Applies a command; the result goes to the proposer. */
+	/** Applies a command; the result is returned to the proposer. */
 	apply: (command: unknown, index: number) => unknown;
-	/** The whole state as plain data. */
+	/** Returns the whole state as serializable data. */
 	takeSnapshot: () => unknown;
 	restoreSnapshot: (data: unknown, index: number) => void;
 };
 
-/** What a node is made from. */
 export type LogNodeOptions = {
 	replica: Replica;
 	persist: (write: DurableWrite) => Promise<void>;
 	send: (message: Message) => void;
 	machine: StateMachine;
 	clock: Clock;
-	/** Entries after which a snapshot is taken. */
+	/** Number of applied entries between snapshots. */
 	snapshotIntervalEntries: number;
-	/** Whether storage has so much behind its last snapshot that one is due earlier. */
+	/** Whether storage has grown so much since its last snapshot that the next one is due early. */
 	needsCompaction?: () => boolean;
-	/** Called once when storage failed; the node takes no further part. */
+	/** Called once when processing a batch has failed, such as on a storage error; the node then stops. */
 	onFailure: (thrown: unknown) => void;
-	/** Called when the instance seems to have been suspended, or its time of day was set forward. */
+	/** Called when the instance appears to have been suspended or its time of day was set forward. */
 	onSuspended?: () => void;
-	/** Called when role, term or leader changed. */
+	/** Called when role, term or leader has changed. */
 	onRoleChange?: (role: Role, term: number, leader: string | undefined) => void;
 };
 
-/** A proposal whose leader was lost; it may or may not be committed. */
+/** Returned when leadership was lost or the node stopped before a proposal was applied; the proposal may or may not be committed. */
 export class ProposalLostError extends MastvalveError {
 	constructor() {
 		super('proposal-lost', 'Leadership was lost before the change was known to be committed. Ask again with the same request id.', {status: 503, outcome: Outcome.Unknown, retryAfterSeconds: 1});
@@ -51,17 +49,17 @@
 	}
 }
 
-type Waiter = {term: number; resolve: (result: Result<unknown, MastvalveError>) => void};
+type PendingProposal = {term: number; resolve: (result: Result<unknown, MastvalveError>) => void};
 
-/** A running replica. */
+/** Runs one replica with its storage, transport and state machine. */
 export class LogNode {
 	appliedIndex: number;
 	private inputs: Array<() => void> = [];
-	private readonly waiters = new Map<number, Waiter>();
-	private pumping: Promise<void> | undefined;
-	private stopped = false;
+	private readonly pendingProposals = new Map<number, PendingProposal>();
+	private processing: Promise<void> | undefined;
+	private isStopped = false;
 	private snapshotIndex: number;
-	private lastRole = '';
+	private lastReportedRole = '';
 	private readonly suspension: SuspensionWatch;
 
 	constructor(private readonly options: LogNodeOptions) {
@@ -74,35 +72,35 @@
 		return this.options.replica;
 	}
 
-	/** Instance name of the leader, as far as it is known here. */
+	/** Instance name of the leader; undefined while it is unknown. */
 	get leaderName(): string | undefined {
 		const {leader} = this.options.replica;
 		return leader === undefined ? undefined : getInstanceName(leader);
 	}
 
-	/** Whether the applied state may be read as linearizable at this moment. */
+	/** Whether reads of the applied state are linearizable now: the lease is valid and all committed entries are applied. */
 	hasLinearizableState(): boolean {
-		return !this.stopped && this.hasReadLease() && this.appliedIndex >= this.options.replica.commitIndex;
+		return !this.isStopped && this.hasReadLease() && this.appliedIndex >= this.options.replica.commitIndex;
 	}
 
-	/** Whether this one leads with a valid lease, whether or not it has applied all. */
+	/** Whether this instance leads with a valid lease. Committed entries may still be unapplied. */
 	hasReadLease(): boolean {
 		return this.options.replica.hasReadLease(this.readClock());
 	}
 
-	/** When this one last heard from the leader, in the clock's ms; undefined without one. */
+	/** Returns when the current leader last made contact, in ms of the clock; undefined without a known leader. */
 	leaderContactAt(): number | undefined {
 		return this.options.replica.leaderContactAt(this.readClock());
 	}
 
-	/** Proposes a command and waits until it is applied. */
+	/** Proposes a command and resolves with its result once it is applied. */
 	async propose(command: unknown): Promise<Result<unknown, MastvalveError>> {
-		return this.proposeWith(() => this.options.replica.propose(command));
+		return this.enqueueProposal(() => this.options.replica.propose(command));
 	}
 
 	/** Proposes a membership that differs by one replica. */
 	async proposeMembership(membership: Membership): Promise<Result<unknown, MastvalveError>> {
-		return this.proposeWith(() => this.options.replica.proposeMembership(membership));
+		return this.enqueueProposal(() => this.options.replica.proposeMembership(membership));
 	}
 
 	receive(message: Message): void {
@@ -111,7 +109,7 @@
 		});
 	}
 
-	/** Time goes on; costs next to nothing when no timer of the replica is due. */
+	/** Runs the replica's timers. Cheap when none is due. */
 	tick(): void {
 		if (this.readClock() < this.options.replica.nextTimerAt) {
 			return;
@@ -128,16 +126,16 @@
 		});
 	}
 
-	/** Ends the node: nothing is written or sent any more. */
+	/** Stops the node after the current batch and fails all pending proposals. */
 	async stop(): Promise<void> {
-		this.stopped = true;
-		await this.pumping;
-		this.failWaiters();
+		this.isStopped = true;
+		await this.processing;
+		this.failPendingProposals();
 	}
 
 	/**
-	 * The time. Whoever uses a lease or answers for the newest state asks here first: a leader that was suspended for longer than
-	 * its lease would believe in it on waking, since no time has gone by on its steady clock.
+	 * Returns the time after checking for a suspension. Every use of a lease reads the clock here: the steady clock does not
+	 * advance during a suspension, so a leader that was suspended for longer than its lease would still consider it valid.
 	 */
 	private readClock(): number {
 		const {clock, replica, onSuspended} = this.options;
@@ -150,9 +148,9 @@
 		return now;
 	}
 
-	private async proposeWith(append: () => {index: number; term: number} | undefined): Promise<Result<unknown, MastvalveError>> {
+	private async enqueueProposal(append: () => {index: number; term: number} | undefined): Promise<Result<unknown, MastvalveError>> {
 		return new Promise(resolve => {
-			if (this.stopped) {
+			if (this.isStopped) {
 				resolve(err(new NotLeaderError(undefined)));
 				return;
 			}
@@ -160,7 +158,7 @@
 			this.enqueue(() => {
 				const position = append();
 				if (position) {
-					this.waiters.set(position.index, {term: position.term, resolve});
+					this.pendingProposals.set(position.index, {term: position.term, resolve});
 				} else {
 					resolve(err(new NotLeaderError(this.leaderName)));
 				}
@@ -169,33 +167,33 @@
 	}
 
 	private enqueue(input: () => void): void {
-		if (this.stopped) {
+		if (this.isStopped) {
 			return;
 		}
 
 		this.inputs.push(input);
-		this.pumping ??= this.pump().finally(() => {
-			this.pumping = undefined;
+		this.processing ??= this.processInputs().finally(() => {
+			this.processing = undefined;
 		});
 	}
 
-	private async pump(): Promise<void> {
+	private async processInputs(): Promise<void> {
 		try {
-			// Lets inputs of the same turn of the loop gather into one round.
+			// Collects the inputs that are enqueued by the current task into one batch.
 			await Promise.resolve();
-			while (this.inputs.length > 0 && !this.stopped) {
-				// Rounds must follow each other: nothing is sent before its write is durable.
+			while (this.inputs.length > 0 && !this.isStopped) {
+				// Batches run one after another, because no message may be sent before its write is durable.
 				// eslint-disable-next-line no-await-in-loop
-				await this.runRound();
+				await this.processBatch();
 			}
 		} catch (error) {
-			this.stopped = true;
-			this.failWaiters();
+			this.isStopped = true;
+			this.failPendingProposals();
 			this.options.onFailure(error);
 		}
 	}
 
-	private async runRound(): Promise<void> {
+	private async processBatch(): Promise<void> {
 		const {replica, clock, persist, send} = this.options;
 		const {inputs} = this;
 		this.inputs = [];
@@ -229,41 +227,41 @@
 	private applyEntry(entry: LogEntry): void {
 		const result = entry.kind === EntryKind.Command ? this.options.machine.apply(entry.command, entry.index) : undefined;
 		this.appliedIndex = entry.index;
-		const waiter = this.waiters.get(entry.index);
-		if (waiter) {
-			this.waiters.delete(entry.index);
-			waiter.resolve(waiter.term === entry.term ? ok(result) : err(new ProposalLostError()));
+		const pending = this.pendingProposals.get(entry.index);
+		if (pending) {
+			this.pendingProposals.delete(entry.index);
+			pending.resolve(pending.term === entry.term ? ok(result) : err(new ProposalLostError()));
 		}
 	}
 
 	private reportRole(): void {
 		const {replica, onRoleChange} = this.options;
 		const role = `${replica.role} ${replica.term} ${replica.leader ?? ''}`;
-		if (role !== this.lastRole) {
-			this.lastRole = role;
+		if (role !== this.lastReportedRole) {
+			this.lastReportedRole = role;
 			if (replica.role !== Role.Leader) {
-				this.failWaiters();
+				this.failPendingProposals();
 			}
 
 			onRoleChange?.(replica.role, replica.term, this.leaderName);
 		}
 	}
 
-	private failWaiters(): void {
-		const waiting = [...this.waiters.values()];
-		this.waiters.clear();
-		waiting.forEach(waiter => {
-			waiter.resolve(err(new ProposalLostError()));
+	private failPendingProposals(): void {
+		const pending = [...this.pendingProposals.values()];
+		this.pendingProposals.clear();
+		pending.forEach(proposal => {
+			proposal.resolve(err(new ProposalLostError()));
 		});
 	}
 
 	private snapshotIfDue(): void {
-		const {replica, machine, snapshotIntervalEntries: snapshotEvery, needsCompaction: isStorageLarge} = this.options;
+		const {replica, machine, snapshotIntervalEntries, needsCompaction} = this.options;
 		const entries = this.appliedIndex - this.snapshotIndex;
-		if (entries >= snapshotEvery || (entries > 0 && isStorageLarge?.())) {
+		if (entries >= snapshotIntervalEntries || (entries > 0 && needsCompaction?.())) {
 			this.snapshotIndex = this.appliedIndex;
 			replica.compact(this.appliedIndex, machine.takeSnapshot());
-			// The write goes out with the next round.
+			// An empty input starts another batch, which persists the snapshot.
 			this.inputs.push(() => undefined);
 		}
 	}
--- a/packages/mastvalve-replication/src/membership-planner.ts
+++ b/packages/mastvalve-replication/src/membership-planner.ts
@@ -1,60 +1,59 @@
 /**
- * Which membership change a leader makes next, one at a time.
+ * Plans membership changes, one replica at a time.
  *
- * A replica that came back with an empty disk is first a learner. Once it has caught up it becomes a voter, and only
- * then does its former identity leave: at no moment does a quorum rest on a replica that lacks the log.
+ * A replica that returns with an empty disk joins as a learner. It is promoted once it has caught up, and only then is
+ * its previous identity removed, so that no quorum ever depends on a replica that lacks the log.
  */
 
 import {
 	addLearner, getInstanceName, promoteLearner, removeReplica, type Membership, type ReplicaId,
 } from './membership.js';
 
-/** Bounds of the planner. */
 export type MembershipBounds = {
-	/** Voters that are wanted; more are only taken in while there is no bound. */
+	/** Target number of voters; a learner is not promoted beyond it. */
 	maxVoters: number;
-	/** Whether a replica has not answered for so long that another one may take its place. */
+	/** Whether a replica has not responded for so long that another one may replace it. */
 	isUnresponsive: (id: ReplicaId) => boolean;
 };
 
-/** Every replica that joins becomes a voter, and none gives way but to its own next identity. */
+/** Promotes every replica that joins and replaces a replica only by a newer identity of the same instance. */
 export const unboundedMembership: MembershipBounds = {maxVoters: Number.POSITIVE_INFINITY, isUnresponsive: () => false};
 
 const hasNewerIdentity = (ids: readonly ReplicaId[]) => (id: ReplicaId, index: number): boolean =>
 	ids.slice(index + 1).some(other => getInstanceName(other) === getInstanceName(id));
 
-/** The next membership, or undefined when nothing is to be done. */
+/** Returns the next membership; undefined when no change is needed. */
 export const planNextMembership = (
 	membership: Membership,
 	joining: readonly ReplicaId[],
 	isCaughtUp: (id: ReplicaId) => boolean,
-	{maxVoters, isUnresponsive: isSilent}: MembershipBounds = unboundedMembership,
+	{maxVoters, isUnresponsive}: MembershipBounds = unboundedMembership,
 ): Membership | undefined => {
 	const {voters, learners} = membership;
-	const known = new Set([...voters, ...learners]);
-	const newcomer = joining.find(id => !known.has(id));
-	const outdatedLearner = learners.find(hasNewerIdentity(learners)) ?? learners.find(id => isSilent(id) && !joining.includes(id));
-	const replaced = voters.find(hasNewerIdentity(voters));
-	const ready = learners.find(id => isCaughtUp(id) && !isSilent(id));
-	const isFull = voters.length >= maxVoters;
-	const takenNames = new Set(learners.map(getInstanceName));
-	// A voter whose machine came back with an empty disk can never vote again; it gives way first.
-	const replaceable = voters.find(id => takenNames.has(getInstanceName(id))) ?? voters.find(isSilent);
-	if (replaced) {
-		return removeReplica(membership, replaced);
+	const members = new Set([...voters, ...learners]);
+	const newReplica = joining.find(id => !members.has(id));
+	const obsoleteLearner = learners.find(hasNewerIdentity(learners)) ?? learners.find(id => isUnresponsive(id) && !joining.includes(id));
+	const obsoleteVoter = voters.find(hasNewerIdentity(voters));
+	const promotableLearner = learners.find(id => isCaughtUp(id) && !isUnresponsive(id));
+	const hasAllVoters = voters.length >= maxVoters;
+	const learnerNames = new Set(learners.map(getInstanceName));
+	// A voter whose instance returned with an empty disk can never vote again, so it is replaced first.
+	const replaceableVoter = voters.find(id => learnerNames.has(getInstanceName(id))) ?? voters.find(isUnresponsive);
+	if (obsoleteVoter) {
+		return removeReplica(membership, obsoleteVoter);
 	}
 
-	if (outdatedLearner) {
-		return removeReplica(membership, outdatedLearner);
+	if (obsoleteLearner) {
+		return removeReplica(membership, obsoleteLearner);
 	}
 
-	if (ready && !isFull) {
-		return promoteLearner(membership, ready);
+	if (promotableLearner && !hasAllVoters) {
+		return promoteLearner(membership, promotableLearner);
 	}
 
-	if (ready && replaceable) {
-		return removeReplica(membership, replaceable);
+	if (promotableLearner && replaceableVoter) {
+		return removeReplica(membership, replaceableVoter);
 	}
 
-	return newcomer ? addLearner(membership, newcomer) : undefined;
+	return newReplica ? addLearner(membership, newReplica) : undefined;
 };
--- a/packages/mastvalve-replication/src/memory-log.ts
+++ b/packages/mastvalve-replication/src/memory-log.ts
@@ -1,12 +1,12 @@
 /**
- * The part of the log that a replica holds in memory.
+ * In-memory part of the replicated log.
  */
 
 import {EntryKind, type LogEntry} from './log-entry.js';
 import type {Membership} from './membership.js';
 import type {Snapshot} from './snapshot.js';
 
-/** Entries after a base; the base is where the snapshot ended, or a little before it. */
+/** Holds the entries after a base index, which is the index of the snapshot or slightly before it. */
 export class MemoryLog {
 	private entries: LogEntry[] = [];
 	private baseIndex = 0;
@@ -28,12 +28,12 @@
 		return this.entries.at(-1)?.term ?? this.baseTerm;
 	}
 
-	/** The first index whose entry is here. */
+	/** Index of the first entry held in memory. */
 	get firstIndex(): number {
 		return this.baseIndex + 1;
 	}
 
-	/** Term of an entry; undefined when it isn't here. */
+	/** Returns the term of an entry; undefined when the entry is not held in memory. */
 	termAt(index: number): number | undefined {
 		return index === this.baseIndex ? this.baseTerm : this.entryAt(index)?.term;
 	}
@@ -42,7 +42,7 @@
 		return index > this.baseIndex ? this.entries[index - this.baseIndex - 1] : undefined;
 	}
 
-	/** Entries from `from` on, at most `limit`. */
+	/** Returns at most `limit` entries, starting at index `from`. */
 	read(from: number, limit = Number.POSITIVE_INFINITY): LogEntry[] {
 		const start = Math.max(0, from - this.baseIndex - 1);
 		return this.entries.slice(start, start + limit);
@@ -56,7 +56,7 @@
 		this.entries.length = Math.max(0, index - this.baseIndex - 1);
 	}
 
-	/** Sets the snapshot and forgets entries up to `trailing` before it. */
+	/** Sets the snapshot and drops all earlier entries except the last `trailing` ones. */
 	compact(snapshot: Snapshot, trailing: number): void {
 		const base = Math.max(this.baseIndex, snapshot.index - trailing);
 		const dropped = this.entries.slice(0, base - this.baseIndex);
@@ -67,7 +67,7 @@
 		this.snapshot = snapshot;
 	}
 
-	/** Replaces everything by a snapshot. */
+	/** Replaces the whole log by a snapshot. */
 	reset(snapshot: Snapshot): void {
 		this.snapshot = snapshot;
 		this.entries = [];
@@ -76,12 +76,12 @@
 		this.baseMembership = snapshot.membership;
 	}
 
-	/** The membership in force after all entries up to `index`. */
+	/** Returns the membership in effect after all entries up to `index`. */
 	membershipAt(index = this.lastIndex): Membership {
 		return latestMembership(this.read(this.firstIndex, index - this.baseIndex)) ?? this.baseMembership;
 	}
 
-	/** Index of the newest membership entry here; 0 if there is none. */
+	/** Returns the index of the newest membership entry in memory; 0 if there is none. */
 	lastMembershipIndex(): number {
 		return this.entries.findLast(entry => entry.kind === EntryKind.Membership)?.index ?? 0;
 	}
--- a/packages/mastvalve-replication/src/message.ts
+++ b/packages/mastvalve-replication/src/message.ts
@@ -6,7 +6,6 @@
 import type {ReplicaId} from './membership.js';
 import type {Snapshot} from './snapshot.js';
 
-/** Kinds of messages. */
 export enum MessageKind {
 	PreVoteRequest = 'pre-vote-request',
 	PreVoteResponse = 'pre-vote-response',
@@ -20,50 +19,49 @@
 
 type Envelope = {from: ReplicaId; to: ReplicaId; term: number};
 
-/** Asks for a vote; as a pre-vote it changes nothing at the receiver. */
+/** Requests a vote. A pre-vote request leaves the receiver's term and vote unchanged. */
 export type VoteRequest = Envelope & {
 	kind: MessageKind.VoteRequest | MessageKind.PreVoteRequest;
 	lastIndex: number;
 	lastTerm: number;
-	/** The leader itself asked for this election, so its lease is no reason to refuse. */
+	/** Whether the leader itself started this election by a transfer; its lease is then no reason to refuse the vote. */
 	transfer: boolean;
 };
 
-/** Answers a vote request. */
 export type VoteResponse = Envelope & {
 	kind: MessageKind.VoteResponse | MessageKind.PreVoteResponse;
 	granted: boolean;
 };
 
-/** Entries or a heartbeat from the leader. */
+/** Log entries from the leader; a heartbeat when `entries` is empty. */
 export type AppendRequest = Envelope & {
 	kind: MessageKind.AppendRequest;
 	prevIndex: number;
 	prevTerm: number;
 	entries: LogEntry[];
 	commit: number;
-	/** The leader's own clock, given back in the answer for its lease. */
+	/** Time on the leader's clock, ms; echoed in the response, where it extends the leader's lease. */
 	sentAt: number;
 };
 
-/** Answers entries, heartbeats and snapshots. */
+/** Response to entries, heartbeats and snapshots. */
 export type AppendResponse = Envelope & {
 	kind: MessageKind.AppendResponse;
 	success: boolean;
-	/** On success, the last index known to be equal; else, the index from which to try again. */
+	/** On success, the last index known to match the leader's log; otherwise, the index from which to retry. */
 	index: number;
+	/** `sentAt` of the request. */
 	sentAt: number;
 };
 
-/** A whole snapshot from the leader. */
+/** Complete snapshot from the leader. */
 export type SnapshotRequest = Envelope & {
 	kind: MessageKind.SnapshotRequest;
 	snapshot: Snapshot;
 	sentAt: number;
 };
 
-/** The leader hands over: start an election at once. */
+/** Leadership transfer: the receiver starts an election immediately. */
 export type TimeoutNow = Envelope & {kind: MessageKind.TimeoutNow};
 
-/** Any message. */
 export type Message = VoteRequest | VoteResponse | AppendRequest | AppendResponse | SnapshotRequest | TimeoutNow;
--- a/packages/mastvalve-replication/src/replica-core.ts
+++ b/packages/mastvalve-replication/src/replica-core.ts
@@ -1,5 +1,5 @@
 /**
- * The state of a replica that its elections, its leadership and its following work on, with what they share.
+ * State of a replica, and the operations on it that elections, leadership and following share.
  */
 
 import type {DurableWrite} from './effects.js';
@@ -11,7 +11,6 @@
 import type {ReplicaOptions, ReplicaRules, ReplicaTimes} from './replica-options.js';
 import type {Snapshot} from './snapshot.js';
 
-/** Roles of a replica. */
 export enum Role {
 	Follower = 'follower',
 	PreCandidate = 'pre-candidate',
@@ -19,30 +18,30 @@
 	Leader = 'leader',
 }
 
-/** What a leader knows of another replica. */
+/** A leader's record of another replica. Times are on the leader's clock, ms. */
 export type Progress = {
 	nextIndex: number;
 	matchIndex: number;
-	/** The leader's clock when it sent what was last acknowledged. */
+	/** Send time of the newest acknowledged message; negative infinity before the first. */
 	acknowledgedAt: number;
-	/** When a snapshot was last sent; it isn't sent again at once. */
+	/** When a snapshot was last sent; at most one is sent per election timeout. */
 	snapshotSentAt: number;
-	/** When entries were last sent anew because of a refusal; refusals of what was sent before say nothing new. */
+	/** When entries were last resent after a rejection; rejections of messages sent earlier are ignored. */
 	resentAt: number;
 };
 
-/** A message before sender and term are put on. */
+/** Message without its sender, and without its term unless that differs from the current one. */
 type Unsent<M> = M extends Message ? Omit<M, 'from' | 'term'> & {term?: number} : never;
 
 const defaultTrailingEntries = 1000;
 
-/** The state. */
+/** Mutable state of one replica. All times are on the clock passed to the replica, ms. */
 export class ReplicaCore {
 	readonly id: ReplicaId;
 	role = Role.Follower;
 	leader: ReplicaId | undefined;
 	commitIndex: number;
-	/** When this replica last became leader, in the clock given to it. */
+	/** When this replica last became leader. */
 	leaderSince = Number.NEGATIVE_INFINITY;
 
 	readonly times: ReplicaTimes;
@@ -55,14 +54,15 @@
 
 	nextElectionAt = 0;
 	nextHeartbeatAt = 0;
-	/** No vote is given before this time: a leader may hold a lease on our silence. */
+	/** Votes are withheld until this time, because a leader may hold a lease that depends on it. */
 	votesWithheldUntil: number;
-	/** What was heard up to then doesn't count for leases, in the clock given to the core; it may have stood still at that moment. */
+	/** Contacts up to and including this time do not count towards leases; inclusive because the clock may have stood still at that moment. */
 	contactsValidAfter = Number.NEGATIVE_INFINITY;
 	votes = new Set<ReplicaId>();
 	progress = new Map<ReplicaId, Progress>();
 	termStartIndex = 0;
 	transferringUntil: number | undefined;
+	/** Index of the last entry handed out in `Effects.committed` or covered by a restored snapshot. */
 	emittedIndex: number;
 
 	pendingWrite: DurableWrite = {append: []};
@@ -81,10 +81,10 @@
 		this.membership = this.log.membershipAt();
 		this.commitIndex = options.restored.snapshot?.index ?? 0;
 		this.emittedIndex = this.commitIndex;
-		// Before a restart we may have acknowledged a heartbeat on which a lease still rests.
-		const quietSince = options.processStartedAt ?? options.now;
-		this.votesWithheldUntil = quietSince + options.times.electionTimeoutMs;
-		this.resetElectionTimer(quietSince);
+		// An earlier process of this replica may have acknowledged a heartbeat that still extends a leader's lease.
+		const processStartedAt = options.processStartedAt ?? options.now;
+		this.votesWithheldUntil = processStartedAt + options.times.electionTimeoutMs;
+		this.resetElectionTimer(processStartedAt);
 	}
 
 	get term(): number {
@@ -95,12 +95,12 @@
 		return this.log.lastIndex;
 	}
 
-	/** Whether a membership change still waits to be committed. */
+	/** Whether the newest membership entry is not committed yet. */
 	get hasUncommittedMembership(): boolean {
 		return this.log.lastMembershipIndex() > this.commitIndex;
 	}
 
-	/** Follows nobody yet in a term; a vote given in it stays. */
+	/** Becomes a follower without a known leader. A vote already granted in the same term is kept. */
 	becomeFollower(term: number, now: number): void {
 		if (term > this.term) {
 			this.setHardState({term});
@@ -112,7 +112,7 @@
 		this.resetElectionTimer(now);
 	}
 
-	/** Appends entries to the log and to the next write. */
+	/** Appends entries to the log and to the pending write. */
 	appendEntries(entries: LogEntry[]): void {
 		this.log.append(entries);
 		this.pendingWrite.append.push(...entries);
@@ -120,7 +120,7 @@
 		this.refreshMembership(entries.some(entry => entry.kind === EntryKind.Membership));
 	}
 
-	/** Drops entries from an index on, in the log and in the next write. */
+	/** Discards the entries from `index` on, in the log and in the pending write. */
 	truncateFrom(index: number): void {
 		if (index > this.lastIndex) {
 			return;
@@ -134,35 +134,35 @@
 		this.refreshMembership(true);
 	}
 
-	/** Takes the membership from the log after a change of it. */
+	/** Rereads the membership from the log if it may have changed. */
 	refreshMembership(mayHaveChanged: boolean): void {
 		if (mayHaveChanged) {
 			this.membership = this.log.membershipAt();
 		}
 	}
 
-	/** Term and vote, to be durable before anything is sent. */
+	/** Sets term and vote and adds them to the pending write, which is durable before any message is sent. */
 	setHardState(hardState: HardState): void {
 		this.hardState = hardState;
 		this.pendingWrite.hardState = hardState;
 		this.hasWrite = true;
 	}
 
-	/** Draws the time of the next election. */
+	/** Restarts the election timer with a random timeout. */
 	resetElectionTimer(now: number): void {
 		this.nextElectionAt = now + (this.times.electionTimeoutMs * (1 + this.random()));
 	}
 
-	/** All members but this one. */
+	/** Returns all voters and learners except this replica. */
 	otherReplicas(): ReplicaId[] {
 		return [...this.membership.voters, ...this.membership.learners].filter(id => id !== this.id);
 	}
 
-	/** What this leader knows of another replica. */
+	/** Returns the progress of another replica, creating it on first use. */
 	getProgress(id: ReplicaId): Progress {
-		const known = this.progress.get(id);
-		if (known) {
-			return known;
+		const existing = this.progress.get(id);
+		if (existing) {
+			return existing;
 		}
 
 		const created: Progress = {
@@ -172,7 +172,7 @@
 		return created;
 	}
 
-	/** Sends a message with the next effects. */
+	/** Queues a message for the next effects. */
 	send(message: Unsent<Message>): void {
 		this.messages.push({...message, from: this.id, term: message.term ?? this.term});
 	}
--- a/packages/mastvalve-replication/src/replica-election.ts
+++ b/packages/mastvalve-replication/src/replica-election.ts
@@ -1,5 +1,5 @@
 /**
- * Elections of a replica: pre-votes, votes, and when both are refused (Ongaro's thesis, 2014, sections 3.4, 4.2.3, 9.6).
+ * Elections: pre-votes, votes, and the conditions for refusing them (Ongaro's thesis, 2014, sections 3.4, 4.2.3, 9.6).
  */
 
 import {quorumSize} from './membership.js';
@@ -10,7 +10,7 @@
 const responseKind = (kind: VoteRequest['kind']): VoteResponse['kind'] =>
 	(kind === MessageKind.PreVoteRequest ? MessageKind.PreVoteResponse : MessageKind.VoteResponse);
 
-/** Asks whether an election could be won, before the term rises. */
+/** Asks the other voters whether an election could be won, before incrementing the term. */
 export const startPreVote = (core: ReplicaCore, now: number): void => {
 	core.role = Role.PreCandidate;
 	core.leader = undefined;
@@ -18,7 +18,7 @@
 	collectVotes(core, MessageKind.PreVoteRequest, core.term + 1, false, now);
 };
 
-/** Stands for election in the next term; `transfer` says that the leader asked for it. */
+/** Starts an election in the next term; `transfer` marks one that the leader requested. */
 export const startElection = (core: ReplicaCore, now: number, transfer: boolean): void => {
 	core.role = Role.Candidate;
 	core.leader = undefined;
@@ -50,18 +50,17 @@
 	}
 };
 
-/** Whether a vote would break a lease that may rest on our silence. */
+/** Whether granting a vote could violate a lease that depends on this replica. */
 export const isDisruptive = (core: ReplicaCore, message: VoteRequest, now: number): boolean => {
-	const quietUntil = core.role === Role.Leader ? computeLeaseEnd(core, now) : core.votesWithheldUntil;
-	return !message.transfer && now < quietUntil;
+	const withheldUntil = core.role === Role.Leader ? computeLeaseEnd(core, now) : core.votesWithheldUntil;
+	return !message.transfer && now < withheldUntil;
 };
 
-/** Refuses a vote or a pre-vote. */
 export const refuseVote = (core: ReplicaCore, message: VoteRequest): void => {
 	core.send({kind: responseKind(message.kind), to: message.from, granted: false});
 };
 
-/** Grants a vote to a candidate whose log is complete enough, once in a term. */
+/** Grants a vote to a candidate whose log is up to date, to at most one candidate per term. */
 export const handleVoteRequest = (core: ReplicaCore, message: VoteRequest, now: number): void => {
 	const isPreVote = message.kind === MessageKind.PreVoteRequest;
 	const isCurrent = core.rules.isLogUpToDate(message, {lastIndex: core.lastIndex, lastTerm: core.log.lastTerm});
@@ -79,7 +78,7 @@
 	});
 };
 
-/** Counts a vote; a majority leads on to the election or to the lead. */
+/** Counts a vote. A majority of pre-votes starts the election; a majority of votes makes this replica the leader. */
 export const handleVoteResponse = (core: ReplicaCore, message: VoteResponse, now: number): void => {
 	const isPreVote = message.kind === MessageKind.PreVoteResponse;
 	const isExpected = isPreVote
--- a/packages/mastvalve-replication/src/replica-following.ts
+++ b/packages/mastvalve-replication/src/replica-following.ts
@@ -1,5 +1,5 @@
 /**
- * What a replica does with what a leader sends: entries that must fit behind its own, and snapshots.
+ * Handling of a leader's messages: entries, which must continue the local log, and snapshots.
  */
 
 import {MessageKind, type AppendRequest, type SnapshotRequest} from './message.js';
@@ -20,7 +20,7 @@
 	return true;
 };
 
-/** Takes entries that fit behind the own ones; otherwise tells where the logs part. */
+/** Appends entries that continue the local log; otherwise responds with the index from which the leader should retry. */
 export const handleAppendRequest = (core: ReplicaCore, message: AppendRequest, now: number): void => {
 	if (!acceptLeader(core, message, now)) {
 		return;
@@ -34,23 +34,22 @@
 		return;
 	}
 
-	const fresh = message.entries.find(entry => entry.index > core.commitIndex && core.log.termAt(entry.index) !== entry.term);
-	const first = fresh;
-	if (first) {
-		core.truncateFrom(first.index);
-		core.appendEntries(message.entries.filter(entry => entry.index >= first.index));
+	const firstNew = message.entries.find(entry => entry.index > core.commitIndex && core.log.termAt(entry.index) !== entry.term);
+	if (firstNew) {
+		core.truncateFrom(firstNew.index);
+		core.appendEntries(message.entries.filter(entry => entry.index >= firstNew.index));
 	}
 
-	const lastNew = message.prevIndex + message.entries.length;
-	core.commitIndex = Math.max(core.commitIndex, Math.min(message.commit, lastNew));
+	const lastMatching = message.prevIndex + message.entries.length;
+	core.commitIndex = Math.max(core.commitIndex, Math.min(message.commit, lastMatching));
 	core.send({
-		kind: MessageKind.AppendResponse, to: message.from, success: true, index: lastNew, sentAt: message.sentAt,
+		kind: MessageKind.AppendResponse, to: message.from, success: true, index: lastMatching, sentAt: message.sentAt,
 	});
 };
 
-/** The index from which the leader should try again; undefined when the logs agree at `prevIndex`. */
+/** Returns the index from which the leader should retry; undefined when the logs match at `prevIndex`. */
 const findMismatch = (core: ReplicaCore, message: AppendRequest): number | undefined => {
-	// All up to the commit index is equal everywhere.
+	// Committed entries are the same in every log.
 	if (message.prevIndex <= core.commitIndex) {
 		return undefined;
 	}
@@ -68,7 +67,7 @@
 	return candidates.find(entry => entry.term === term)?.index ?? from;
 };
 
-/** Takes a snapshot in place of the log when it is ahead of what is committed here. */
+/** Replaces the log by a snapshot that is newer than the local commit index. */
 export const handleSnapshotRequest = (core: ReplicaCore, message: SnapshotRequest, now: number): void => {
 	if (!acceptLeader(core, message, now)) {
 		return;
--- a/packages/mastvalve-replication/src/replica-leadership.ts
+++ b/packages/mastvalve-replication/src/replica-leadership.ts
@@ -1,6 +1,6 @@
 /**
- * What a replica does while it leads: heartbeats, entries and snapshots for the others, and what is committed
- * (Ongaro's thesis, 2014, sections 3.5, 3.6 and 6.4.1).
+ * Leadership: sends heartbeats, entries and snapshots, and advances the commit index (Ongaro's thesis, 2014, sections
+ * 3.5, 3.6 and 6.4.1).
  */
 
 import {estimateEntrySize, takeUpToSize} from './entry-size.js';
@@ -9,15 +9,14 @@
 import {MessageKind, type AppendResponse} from './message.js';
 import {Role, type Progress, type ReplicaCore} from './replica-core.js';
 
-/** Entries in one message at the most. */
 const maxEntriesPerMessage = 512;
 /**
- * And their bytes: what follows goes into the next message, so that a replica that is far behind reads at its own pace. 256 KB
- * pass a link of 1,000 Mbit/s in 2 ms; a larger entry goes alone.
+ * Limits the size of the entries in one message, so that a replica that is far behind receives them at its own pace. 256 KB
+ * take 2 ms on a link of 1,000 Mbit/s. A larger entry is sent in a message of its own.
  */
 const maxBytesPerMessage = 262_144;
 
-/** Takes the lead: a first entry of the own term makes earlier ones committable. */
+/** Makes this replica the leader and appends a no-op, because entries of earlier terms commit only with one of the current term. */
 export const becomeLeader = (core: ReplicaCore, now: number): void => {
 	core.role = Role.Leader;
 	core.leader = core.id;
@@ -25,29 +24,29 @@
 	core.transferringUntil = undefined;
 	core.progress = new Map();
 	core.termStartIndex = core.lastIndex + 1;
-	// A new leader has this long to hear from a majority before it steps down.
+	// Time within which a new leader must receive acknowledgements from a majority before it steps down.
 	core.nextElectionAt = now + (2 * core.times.electionTimeoutMs);
 	appendAsLeader(core, {index: core.termStartIndex, term: core.term, kind: EntryKind.NoOp});
 	broadcast(core, now);
 };
 
-/** Heartbeats when they are due; steps down when no majority was heard, or a transfer has failed. */
+/** Sends heartbeats when due. Steps down after losing contact with a majority for two election timeouts, or when a transfer has timed out. */
 export const tickLeader = (core: ReplicaCore, now: number): void => {
 	if (core.transferringUntil !== undefined && now >= core.transferringUntil) {
 		core.becomeFollower(core.term, now);
 		return;
 	}
 
-	const heardAt = quorumValue(core.membership, id => (id === core.id ? now : core.getProgress(id).acknowledgedAt));
-	const isAlone = now - heardAt > 2 * core.times.electionTimeoutMs;
-	if (isAlone && now >= core.nextElectionAt) {
+	const quorumContactAt = quorumValue(core.membership, id => (id === core.id ? now : core.getProgress(id).acknowledgedAt));
+	const hasLostQuorum = now - quorumContactAt > 2 * core.times.electionTimeoutMs;
+	if (hasLostQuorum && now >= core.nextElectionAt) {
 		core.becomeFollower(core.term, now);
 	} else if (now >= core.nextHeartbeatAt) {
 		broadcast(core, now);
 	}
 };
 
-/** Until when no other replica can lead, in the clock given to the core. */
+/** Returns the time until which no other replica can become leader, on this replica's clock. */
 export const computeLeaseEnd = (core: ReplicaCore, now: number): number => {
 	const acknowledgedAt = quorumValue(core.membership, id => {
 		const at = id === core.id ? now : core.getProgress(id).acknowledgedAt;
@@ -56,7 +55,7 @@
 	return core.rules.computeLeaseEnd(acknowledgedAt, core.times);
 };
 
-/** Appends one entry; it goes out with the next flush or heartbeat. */
+/** Appends an entry, to be sent with the next flush or heartbeat. */
 export const appendAsLeader = (core: ReplicaCore, entry: LogEntry): {index: number; term: number} => {
 	core.appendEntries([entry]);
 	advanceCommit(core);
@@ -70,7 +69,7 @@
 	});
 };
 
-/** Sends what another replica lacks, or the snapshot when that is not here any more. */
+/** Sends the entries that another replica lacks, or the snapshot if they are no longer in memory. */
 export const sendEntries = (core: ReplicaCore, to: ReplicaId, now: number): void => {
 	const progress = core.getProgress(to);
 	const prevIndex = progress.nextIndex - 1;
@@ -99,7 +98,7 @@
 	});
 };
 
-/** Another replica has taken entries or refused them; sends what follows. */
+/** Records an acknowledgement or a rejection, and sends the next entries. */
 export const handleAppendResponse = (core: ReplicaCore, message: AppendResponse, now: number): void => {
 	if (core.role !== Role.Leader || message.term !== core.term) {
 		return;
@@ -108,8 +107,8 @@
 	const progress = core.getProgress(message.from);
 	progress.acknowledgedAt = Math.max(progress.acknowledgedAt, message.sentAt);
 	if (!message.success) {
-		// After a cut, all that waited for the link is refused at once. Sending what is missing for each of them carried it 56
-		// times (6 s, 100 changes of 2 KB a second), in bodies that an instance had no memory to read.
+		// After a network partition, all messages queued for the link are rejected at once. Resending the missing entries for each
+		// rejection sent them 56 times (6 s, 100 changes of 2 KB per second), in bodies too large for an instance's memory.
 		if (message.sentAt < progress.resentAt) {
 			return;
 		}
--- a/packages/mastvalve-replication/src/replica-options.ts
+++ b/packages/mastvalve-replication/src/replica-options.ts
@@ -1,5 +1,5 @@
 /**
- * Times and rules of a replica.
+ * Options of a replica: timing, safety rules and restored state.
  */
 
 import type {HardState} from './hard-state.js';
@@ -7,35 +7,32 @@
 import type {Membership, ReplicaId} from './membership.js';
 import type {Snapshot} from './snapshot.js';
 
-/** Times in milliseconds. */
 export type ReplicaTimes = {
-	/** A follower that hears nothing for this long, up to twice as long, stands for election. */
+	/** Lower bound of the election timeout, ms. Each timeout is drawn at random between this and twice this. */
 	electionTimeoutMs: number;
 	heartbeatMs: number;
-	/** By how much two clocks may differ in speed, as a share. */
+	/** Maximum relative difference in rate between two clocks, as a fraction. */
 	maxClockDrift: number;
 };
 
-/** Times that suit instances some milliseconds apart. */
+/** Defaults for instances with a network latency of some milliseconds. */
 export const defaultReplicaTimes: ReplicaTimes = {electionTimeoutMs: 600, heartbeatMs: 120, maxClockDrift: 0.1};
 
-/**
- * The decisions on which safety rests, as functions, so that proofs can hand in a broken one and must catch it.
- */
+/** Decisions on which safety depends. They are functions so that the proofs can inject faulty ones and must detect them. */
 export type ReplicaRules = {
-	/** Whether a candidate's log is complete enough to be voted for. */
+	/** Whether a candidate's log is at least as up to date as the voter's own. */
 	isLogUpToDate: (candidate: {lastIndex: number; lastTerm: number}, own: {lastIndex: number; lastTerm: number}) => boolean;
-	/** Whether a second vote in a term may be given. */
+	/** Whether a vote may be granted in a term in which `votedFor` may already have received one. */
 	mayGrantVote: (votedFor: ReplicaId | undefined, candidate: ReplicaId) => boolean;
-	/** Whether an entry that a majority holds may be committed by counting. */
+	/** Whether an entry replicated to a majority may be committed by counting replicas. */
 	mayCommit: (entryTerm: number, currentTerm: number) => boolean;
-	/** Until when the lease holds, from the time at which a majority was last sent what it has acknowledged. */
+	/** Returns the expiry of the lease, given the send time of the newest message that a majority has acknowledged, ms. */
 	computeLeaseEnd: (acknowledgedAt: number, times: ReplicaTimes) => number;
-	/** Whether a leader with an uncommitted membership may append another one. */
+	/** Whether a leader may append a membership while an earlier one may be uncommitted. */
 	mayChangeMembership: (hasUncommittedMembership: boolean) => boolean;
 };
 
-/** Raft's rules (Ongaro and Ousterhout, 2014, and Ongaro's thesis). */
+/** Rules of Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014). */
 export const defaultReplicaRules: ReplicaRules = {
 	isLogUpToDate: (candidate, own) =>
 		candidate.lastTerm > own.lastTerm || (candidate.lastTerm === own.lastTerm && candidate.lastIndex >= own.lastIndex),
@@ -45,30 +42,29 @@
 	mayChangeMembership: hasUncommittedMembership => !hasUncommittedMembership,
 };
 
-/** What storage gave back at the start. */
+/** State recovered from storage. */
 export type RestoredState = {
 	hardState: HardState;
 	snapshot: Snapshot | undefined;
 	entries: LogEntry[];
 };
 
-/** What a replica is made from. */
 export type ReplicaOptions = {
 	id: ReplicaId;
-	/** Membership before any entry or snapshot. */
+	/** Membership in effect before the first snapshot or membership entry. */
 	initialMembership: Membership;
 	restored: RestoredState;
 	times: ReplicaTimes;
 	rules: ReplicaRules;
-	/** Numbers in [0, 1). */
+	/** Returns random numbers in [0, 1). */
 	random: () => number;
-	/** Monotonic time of the start, ms. */
+	/** Monotonic time at creation, ms. */
 	now: number;
 	/**
-	 * The latest time at which a former life of this replica can have acknowledged anything, ms: the start of the process.
-	 * Votes and elections wait from then on. The time of the start of the replica when left out.
+	 * Monotonic time at which the process started, ms: the latest time at which an earlier process of this replica can have
+	 * acknowledged a message. The initial vote and election timeouts start from here. Defaults to `now`.
 	 */
 	processStartedAt?: number;
-	/** Entries kept in memory behind a snapshot, for replicas that are a little behind. */
+	/** Number of entries before a snapshot to keep in memory, for replicas that are slightly behind. */
 	trailingEntries?: number;
 };
--- a/packages/mastvalve-replication/src/replica.ts
+++ b/packages/mastvalve-replication/src/replica.ts
@@ -1,10 +1,10 @@
 /**
- * One replica of the log as a pure state machine: messages, proposals and time go in; writes, messages and committed
- * entries come out. It opens no socket or file and reads no clock, so that tests can drive it through any order of
- * loss, delay, repeat and crash.
+ * One replica of the log as a pure state machine. Its inputs are messages, proposals and time; its outputs are writes,
+ * messages and committed entries. It opens no sockets or files and reads no clock, so that tests can drive it through
+ * any order of message loss, delay, duplication and crashes.
  *
  * The algorithm is Raft with pre-vote, leader lease, leadership transfer, snapshots and single-server membership
- * changes (Ongaro's thesis, 2014, chapters 3 to 6 and 9.6). Its parts: elections, leadership and following.
+ * changes (Ongaro's thesis, 2014, chapters 3 to 6 and 9.6), divided into elections, leadership and following.
  */
 
 import type {Effects} from './effects.js';
@@ -22,7 +22,7 @@
 import type {ReplicaOptions} from './replica-options.js';
 import type {Snapshot} from './snapshot.js';
 
-/** One replica. Call any of its inputs, then carry out what `takeEffects` gives. */
+/** Replica of the log. After any number of inputs, the caller carries out the result of `takeEffects`. Times are on the caller's clock, ms. */
 export class Replica {
 	private readonly core: ReplicaCore;
 
@@ -46,7 +46,7 @@
 		return this.core.commitIndex;
 	}
 
-	/** When this replica last became leader, in the clock given to it. */
+	/** When this replica last became leader; negative infinity if it never did. */
 	get leaderSince(): number {
 		return this.core.leaderSince;
 	}
@@ -59,7 +59,7 @@
 		return this.core.lastIndex;
 	}
 
-	/** Entries in memory. */
+	/** Number of entries held in memory. */
 	get logLength(): number {
 		return this.core.log.lastIndex - this.core.log.firstIndex + 1;
 	}
@@ -68,17 +68,17 @@
 		return this.core.membership;
 	}
 
-	/** Whether a membership change still waits to be committed. */
+	/** Whether the newest membership entry is not committed yet. */
 	get hasUncommittedMembership(): boolean {
 		return this.core.hasUncommittedMembership;
 	}
 
-	/** When `tick` next has something to do, in the clock given to it. */
+	/** When `tick` is next due. */
 	get nextTimerAt(): number {
 		return this.core.role === Role.Leader ? Math.min(this.core.nextHeartbeatAt, this.core.transferringUntil ?? Number.POSITIVE_INFINITY) : this.core.nextElectionAt;
 	}
 
-	/** Whether reads of committed state are linearizable at this moment. */
+	/** Whether this replica leads with a valid lease, so that reads of the committed state are linearizable at `now`. */
 	hasReadLease(now: number): boolean {
 		return this.core.role === Role.Leader
 			&& this.core.commitIndex >= this.core.termStartIndex
@@ -86,7 +86,7 @@
 			&& now < computeLeaseEnd(this.core, now);
 	}
 
-	/** Whether a learner has all that is committed and answers. */
+	/** Whether another replica holds every committed entry and has acknowledged a message within the election timeout. */
 	isCaughtUp(id: ReplicaId, now: number): boolean {
 		const progress = this.core.progress.get(id);
 		return progress !== undefined
@@ -94,31 +94,31 @@
 			&& now - progress.acknowledgedAt < this.core.times.electionTimeoutMs;
 	}
 
-	/** When this replica last heard from the leader that it follows; undefined without one. */
+	/** Returns when the current leader last made contact; `now` for a leader with a valid lease, undefined without a known leader. */
 	leaderContactAt(now: number): number | undefined {
 		if (this.core.role === Role.Leader) {
 			return this.hasReadLease(now) ? now : undefined;
 		}
 
-		const heardAt = this.core.votesWithheldUntil - this.core.times.electionTimeoutMs;
-		return this.core.leader === undefined || heardAt <= this.core.contactsValidAfter ? undefined : heardAt;
+		const contactAt = this.core.votesWithheldUntil - this.core.times.electionTimeoutMs;
+		return this.core.leader === undefined || contactAt <= this.core.contactsValidAfter ? undefined : contactAt;
 	}
 
 	/**
-	 * What was heard up to `now` may be older than the clock says: leases and what was heard of a leader begin anew. The clock may have stood still at this very
-	 * moment, so a heartbeat that counts must be sent at a later one.
+	 * Invalidates all contacts up to `now`, which may be older than the clock shows, so that leases and leader contact start
+	 * over. The clock may have stood still at `now`, so the next heartbeat that counts is sent at a later time.
 	 */
 	invalidateContacts(now: number): void {
 		this.core.contactsValidAfter = now;
 		this.core.nextHeartbeatAt = Math.min(this.core.nextHeartbeatAt, now + 1);
 	}
 
-	/** When another replica last answered this leader; 0 or less when it never did. */
+	/** Returns the send time of the newest message that another replica has acknowledged; negative infinity if there is none. */
 	acknowledgedAt(id: ReplicaId): number {
 		return this.core.progress.get(id)?.acknowledgedAt ?? Number.NEGATIVE_INFINITY;
 	}
 
-	/** Time goes on. */
+	/** Runs the timers that have expired. */
 	tick(now: number): void {
 		if (this.core.role === Role.Leader) {
 			tickLeader(this.core, now);
@@ -127,7 +127,7 @@
 		}
 	}
 
-	/** Appends a command; its index and term, or undefined when this isn't the leader. */
+	/** Appends a command and returns its position; undefined when this replica is not the leader or is transferring leadership. */
 	propose(command: unknown): {index: number; term: number} | undefined {
 		if (this.core.role !== Role.Leader || this.core.transferringUntil !== undefined) {
 			return undefined;
@@ -138,10 +138,13 @@
 		});
 	}
 
-	/** Appends a membership that differs by one replica; refused while another change is under way. */
+	/**
+	 * Appends a membership that differs by one replica and returns its position. Returns undefined when this replica is not the
+	 * leader, has not committed an entry of its term, is transferring leadership, or has an uncommitted membership.
+	 */
 	proposeMembership(membership: Membership): {index: number; term: number} | undefined {
-		const isReady = this.core.role === Role.Leader && this.core.commitIndex >= this.core.termStartIndex && this.core.transferringUntil === undefined;
-		if (!isReady || !this.core.rules.mayChangeMembership(this.core.hasUncommittedMembership)) {
+		const canChangeMembership = this.core.role === Role.Leader && this.core.commitIndex >= this.core.termStartIndex && this.core.transferringUntil === undefined;
+		if (!canChangeMembership || !this.core.rules.mayChangeMembership(this.core.hasUncommittedMembership)) {
 			return undefined;
 		}
 
@@ -150,7 +153,7 @@
 		});
 	}
 
-	/** Sends what waits to all others; called once after a batch of proposals. */
+	/** Sends unsent entries to all other replicas; called once after a batch of proposals. */
 	flush(now: number): void {
 		if (this.core.role === Role.Leader) {
 			this.core.otherReplicas().filter(id => this.core.getProgress(id).nextIndex <= this.core.lastIndex).forEach(id => {
@@ -159,7 +162,7 @@
 		}
 	}
 
-	/** Hands leadership to the voter that is furthest along. The lease ends at once and for this term. */
+	/** Transfers leadership to the most advanced voter that is caught up. The lease ends immediately and for the rest of the term. */
 	transferLeadership(now: number): void {
 		const target = this.core.otherReplicas()
 			.filter(id => this.core.membership.voters.includes(id) && this.isCaughtUp(id, now))
@@ -170,7 +173,7 @@
 		}
 	}
 
-	/** Takes in a snapshot of the state machine at an applied index, and forgets what it covers. */
+	/** Stores a snapshot of the state machine at an applied index and compacts the log. Does nothing unless it is newer than the last one. */
 	compact(index: number, data: unknown): void {
 		const term = this.core.log.termAt(index);
 		if (term === undefined || index > this.core.emittedIndex || index <= (this.core.log.snapshot?.index ?? 0)) {
@@ -180,16 +183,15 @@
 		const snapshot: Snapshot = {
 			index, term, membership: this.core.log.membershipAt(index), data,
 		};
-		// Replicas that are behind the snapshot before this one get this one: entries are kept by number, but may be large.
-		const sinceFormer = index - (this.core.log.snapshot?.index ?? 0);
-		this.core.log.compact(snapshot, Math.min(this.core.trailingEntries, sinceFormer));
+		// Entries before the previous snapshot are dropped, because trailing entries are limited by number and may be large; replicas that need them receive this snapshot.
+		const sincePrevious = index - (this.core.log.snapshot?.index ?? 0);
+		this.core.log.compact(snapshot, Math.min(this.core.trailingEntries, sincePrevious));
 		this.core.pendingWrite = {
 			...this.core.pendingWrite, snapshot, truncateFrom: undefined, append: this.core.log.read(index + 1), hardState: this.core.hardState,
 		};
 		this.core.hasWrite = true;
 	}
 
-	/** Takes in a message. */
 	receive(message: Message, now: number): void {
 		const isVoteRequest = message.kind === MessageKind.VoteRequest || message.kind === MessageKind.PreVoteRequest;
 		if (isVoteRequest && isDisruptive(this.core, message, now)) {
@@ -238,7 +240,7 @@
 		}
 	}
 
-	/** What must be written, sent and applied since the last call. */
+	/** Returns the effects accumulated since the last call, and clears them. */
 	takeEffects(): Effects {
 		const committed = this.core.log.read(this.core.emittedIndex + 1, this.core.commitIndex - this.core.emittedIndex);
 		this.core.emittedIndex = this.core.commitIndex;
--- a/packages/mastvalve-replication/src/snapshot.ts
+++ b/packages/mastvalve-replication/src/snapshot.ts
@@ -4,11 +4,11 @@
 
 import type {Membership} from './membership.js';
 
-/** The state after all entries up to `index`. */
+/** State after all entries up to and including `index`. */
 export type Snapshot = {
 	index: number;
 	term: number;
 	membership: Membership;
-	/** Plain data that the state machine gave. */
+	/** Serializable data from `StateMachine.takeSnapshot`. */
 	data: unknown;
 };
