--- a/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway in the test's process, with a dialect of its own: `x-id`, `x-left`, `x-model`, `x-not-run`.
+ * Runs a gateway in the test process, with a dialect of the headers `x-id`, `x-left`, `x-model` and `x-not-run`, among others.
  */
 
 import {Buffer} from 'node:buffer';
@@ -24,7 +24,6 @@
 
 const textOf = (value: string | string[] | undefined): string | undefined => (Array.isArray(value) ? value[0] : value);
 
-/** The tests' dialect. */
 export const testDialect: Dialect = {
 	readCaller: headers => ({
 		requestId: textOf(headers['x-id']),
@@ -49,48 +48,47 @@
 	}),
 };
 
-/** Routes of the tests: one of each kind, named by their paths. */
 const createRoute = (name: string, kind: RouteKind, timeoutMs: number): Route => ({
 	name, host: 'h', pathPrefix: `/${name}/`, kind, timeoutMs, objectiveMs: 100, patienceMs: undefined, priority: 1, targets: [{service: 's', weight: 1}], maxAttempts: 2, isResumable: kind === RouteKind.Stream, isAnonymous: name === 'open',
 });
 
+/** One route of each kind, and two special ones; the path prefix of each is its name. */
 const routes: Route[] = [
 	...[RouteKind.Safe, RouteKind.Unsafe, RouteKind.Stream].map(kind => createRoute(kind, kind, 2000)),
 	createRoute('patient', RouteKind.Safe, 60_000),
 	createRoute('open', RouteKind.Safe, 2000),
 ];
 
-/** An endpoint that is ready. */
+/** Creates an endpoint in the phase `Ready`. */
 export const createEndpoint = (id: string, more: Partial<FleetEndpoint> = {}): FleetEndpoint => ({
 	id, sequence: 1, service: 's', address: '', failureDomain: 'a', release: '', slots: 4, isLeaving: false, remainingMs: undefined, holds: [], inMemory: [], onDisk: [], phase: EndpointPhase.Ready, retiring: undefined, loading: undefined, isOrdering: false, orderedAt: 0, revision: 0, ...more,
 });
 
-/** What a caller gets. */
+/** Answer to a caller; `isWhole` is set when it is complete. Status 0 without an answer. */
 export type Received = {status: number; body: string; isWhole: boolean; headers: Record<string, string | string[] | undefined>};
 
-/** A gateway with its view. */
 export class RunningGateway {
 	readonly view = new FleetView(() => systemClock.now());
 	readonly logged: string[] = [];
-	/** Whole log lines. */
+	/** Log lines with their fields, as JSON. */
 	readonly lines: string[] = [];
-	/** Clock of the entry; tests move it. */
+	/** Clock of the entry; tests move its wall time. */
 	readonly clock = {now: () => systemClock.now(), wall: () => systemClock.wall() + this.suspendedMs};
-	/** Time that the steady clock has not counted, ms. */
+	/** Time by which the wall clock is ahead of the monotonic one after suspensions, ms. */
 	suspendedMs = 0;
-	/** What the leader answers to claims, ms each; undefined while none answers. */
+	/** Wait time in the leader's response to each claim, ms; undefined while no leader answers. */
 	limitWaitMs: number | undefined = 0;
-	/** Costs that were claimed, and given back. */
+	/** Claimed costs; refunds are negative. */
 	readonly claimed: number[] = [];
 	readonly access = new AccessChecker({
 		view: this.view, clock: this.clock, keyRevocationMs: 5000, onSuspended: () => undefined,
 	});
 
-	/** The longest time that a call took, ms. */
+	/** Duration of the longest call, ms. */
 	longestMs = 0;
 	readonly gateway: Gateway;
-	readonly headTimes = new FirstByteTimes();
-	readonly demand = new ModelDemand('entry', () => systemClock.now(), () => undefined, this.headTimes);
+	readonly firstByteTimes = new FirstByteTimes();
+	readonly demand = new ModelDemand('entry', () => systemClock.now(), () => undefined, this.firstByteTimes);
 	private readonly agent = new Agent({keepAlive: true});
 	private readonly upstream = new UpstreamAgent();
 	private readonly ending = new AbortController();
@@ -102,7 +100,7 @@
 		const now = (): number => systemClock.now();
 		const quarantine = new RequestQuarantine(this.view, now);
 		const waiters = new CapacityWaiters(systemClock);
-		const board = new EndpointTracker(now, () => {
+		const tracker = new EndpointTracker(now, () => {
 			waiters.wakeAll();
 		});
 		const limits = new LimitClient({
@@ -115,16 +113,16 @@
 			random: createRandom(1),
 			dialect: testDialect,
 			view: this.view,
-			tracker: board,
+			tracker,
 			waiters,
 			agent: this.upstream,
 			access: this.access,
 			limits,
 			limiter: new EndpointLimiter({
-				view: this.view, board, client: limits, now,
+				view: this.view, board: tracker, client: limits, now,
 			}),
 			retryBudget: new ServiceRetryBudget({ratio: 1, slack: 5, windowMs: 10_000}, now, () => 1),
-			firstByteTimes: this.headTimes,
+			firstByteTimes: this.firstByteTimes,
 			demand: this.demand,
 			quarantine,
 			crashDetector: new CrashWatch({
@@ -143,7 +141,7 @@
 		});
 	}
 
-	/** Puts workspaces in force, and lets control be sure of them now. */
+	/** Sets the workspaces, confirmed by control `ageMs` ago. */
 	setWorkspaces(workspaces: Workspace[] | undefined, ageMs = 0): void {
 		this.workspaces = workspaces;
 		this.access.recordAnswer(systemClock.now(), -ageMs);
@@ -154,7 +152,7 @@
 		this.setEndpoints(addresses);
 	}
 
-	/** Listens without knowing any endpoint. */
+	/** Listens without any endpoint. */
 	async listen(): Promise<void> {
 		const [port] = await findFreePorts(1);
 		this.address = `127.0.0.1:${port}`;
@@ -162,12 +160,12 @@
 		started._unsafeUnwrap();
 	}
 
-	/** Puts endpoints in place, all holding the same models. */
+	/** Sets endpoints that all hold the same models. */
 	setEndpoints(addresses: readonly string[], models: readonly string[] = ['m'], loading?: ExpectedLoad): void {
 		this.setHoldings(addresses, addresses.map(() => models), loading);
 	}
 
-	/** Puts endpoints in place, each with its models. */
+	/** Sets endpoints with the models of each. */
 	setHoldings(addresses: readonly string[], holdings: ReadonlyArray<readonly string[]>, loading?: ExpectedLoad): void {
 		const revision = this.view.revision + 1;
 		const cursor = {revision, key: '', begunAt: revision};
@@ -206,8 +204,8 @@
 		}, true);
 	}
 
-	/** A connection on which requests may follow each other before their answers are over. */
-	connect(): {send: (path: string, headers?: string) => void; text: () => string; leave: () => void} {
+	/** Opens a connection on which requests can be pipelined. */
+	connect(): {send: (path: string, headers?: string) => void; readText: () => string; disconnect: () => void} {
 		const [host, port] = this.address.split(':');
 		const socket = connect(Number(port), host);
 		let received = '';
@@ -220,14 +218,14 @@
 				this.requests += 1;
 				socket.write(`POST ${path} HTTP/1.1\r\nhost: h\r\nx-id: r${this.requests}\r\n${headers}content-length: 0\r\n\r\n`);
 			},
-			text: () => received,
-			leave() {
+			readText: () => received,
+			disconnect() {
 				socket.resetAndDestroy();
 			},
 		};
 	}
 
-	/** The same as `call` over a connection of its own. */
+	/** Sends a request over a new connection. */
 	async callAnew(path: string): Promise<Received> {
 		return this.call(path, {agent: false});
 	}
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/scripted-endpoint.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/scripted-endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint that answers with the very bytes that a test gives it.
+ * An endpoint that answers with the exact bytes that a test provides.
  */
 
 import {
@@ -7,22 +7,22 @@
 } from 'node:net';
 import {assumeType} from 'mastvalve-utils';
 
-/** What an endpoint does with a request. */
+/** Handles a complete request; the number counts the requests to the endpoint from 1. */
 export type Script = (socket: Socket, requestText: string, requestNumber: number) => void;
 
-/** A running endpoint; `open` counts its open connections. */
+/** A running endpoint; `connections` counts all connections so far, and `open` the open ones. */
 export type ScriptedEndpoint = {address: string; requests: string[]; connections: () => number; open: () => number; resetConnections: () => void; close: () => void};
 
 const headEnd = '\r\n\r\n';
 
-/** Whether the head and the body that it announces are here. */
+/** Whether the head and the announced body are complete. */
 const isWhole = (text: string): boolean => {
 	const at = text.indexOf(headEnd);
 	const length = Number(/content-length: (?<length>\d+)/iv.exec(text)?.groups?.length ?? 0);
 	return at !== -1 && text.length >= at + headEnd.length + length;
 };
 
-/** Starts an endpoint, on a free port unless one is given. */
+/** Starts an endpoint; port 0 selects a free one. */
 export const startScriptedEndpoint = async (script: Script, port = 0): Promise<ScriptedEndpoint> => {
 	const requests: string[] = [];
 	const sockets = new Set<Socket>();
@@ -67,9 +67,9 @@
 	};
 };
 
-/** The identity of a request in the tests' dialect. */
+/** Returns the request id in the tests' dialect. */
 export const idOf = (requestText: string): string => /x-id: (?<id>\S+)/iv.exec(requestText)?.groups?.id ?? '';
 
-/** A whole answer with a length. */
+/** Formats a complete answer with a length. */
 export const formatAnswer = (id: string, body: string, status = '200 OK', more = ''): string =>
 	`HTTP/1.1 ${status}\r\nx-id: ${id}\r\ncontent-length: ${body.length}\r\n${more}\r\n${body}`;
--- a/packages/mastvalve-gateway/__tests__/gateway.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/gateway.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of requests through a gateway.
+ * Steps for requests through a gateway.
  */
 
 import {strict as assert} from 'node:assert';
@@ -18,26 +18,26 @@
 	formatAnswer, idOf, startScriptedEndpoint, type Script, type ScriptedEndpoint,
 } from './__fixtures__/scripted-endpoint.js';
 
-/** How long requests go on coming after a silence, ms. */
-const silenceLimitMs = 1500;
+/** How long requests are sent after connections have stopped answering, ms. */
+const loadDurationMs = 1500;
 
 type GatewayWorld = World & {
 	scripted: ScriptedEndpoint[];
 	gatewayRun: RunningGateway;
 	received: Received[];
-	/** Time from the first request after a silence to the first answer, ms. */
+	/** Time from the first request after connections stopped answering to the first answer, ms. */
 	servedAfterMs: number;
 };
 
-/** Resets a connection at once; `resetAndDestroy` would close it properly first. */
+/** Resets a connection immediately; `resetAndDestroy` would close it gracefully first. */
 const reset = (socket: Socket): void => {
 	assumeType<{_handle: {reset: (done: () => void) => void}}>(socket)._handle.reset(() => {
 		socket.destroy();
 	});
 };
 
-/** What scripted endpoints hold back until a test asks for it. */
-const releases: Array<() => void> = [];
+/** Sends answers that scripted endpoints hold back until a test releases them. */
+const heldAnswers: Array<() => void> = [];
 
 const event = (id: number): string => `id: ${id}\ndata: e${id}\n\n`;
 
@@ -58,7 +58,7 @@
 	'too short, then closes'(socket, text) {
 		socket.end(`HTTP/1.1 200 OK\r\nx-id: ${idOf(text)}\r\ncontent-length: 100\r\n\r\nhalf`);
 	},
-	'whole, with a surplus answer behind'(socket, text) {
+	'complete, followed by a surplus answer'(socket, text) {
 		socket.write(formatAnswer(idOf(text), idOf(text)) + formatAnswer(idOf(text), 'surplus'));
 	},
 	'with another request\'s id'(socket) {
@@ -67,25 +67,25 @@
 	'not run'(socket, text) {
 		socket.write(formatAnswer(idOf(text), '', '503 Service Unavailable', 'x-not-run: 1\r\n'));
 	},
-	'503 without a promise'(socket, text) {
+	'503 without the not-run header'(socket, text) {
 		socket.write(formatAnswer(idOf(text), '', '503 Service Unavailable'));
 	},
 	'nothing, then resets'(socket) {
 		reset(socket);
 	},
 	nothing: () => undefined,
-	'not run when asked for'(socket, text) {
-		releases.push(() => {
+	'not run when the test releases it'(socket, text) {
+		heldAnswers.push(() => {
 			socket.write(formatAnswer(idOf(text), '', '503 Service Unavailable', 'x-not-run: 1\r\n'));
 		});
 	},
-	'its head, then the rest when asked for'(socket, text) {
+	'its head, and the rest when the test releases it'(socket, text) {
 		socket.write(`HTTP/1.1 200 OK\r\nx-id: ${idOf(text)}\r\ncontent-length: 4\r\n\r\nha`);
-		releases.push(() => {
+		heldAnswers.push(() => {
 			socket.write('lf');
 		});
 	},
-	'two events and a piece, then resets'(socket, text) {
+	'two events and a partial one, then resets'(socket, text) {
 		const events = `${event(1)}${event(2)}id: 3\nda`;
 		socket.write(`HTTP/1.1 200 OK\r\nx-id: ${idOf(text)}\r\ntransfer-encoding: chunked\r\n\r\n${events.length.toString(16)}\r\n${events}\r\n`, () => {
 			setImmediate(() => {
@@ -93,7 +93,7 @@
 			});
 		});
 	},
-	'the events that follow'(socket, text) {
+	'the following events'(socket, text) {
 		const after = Number(/x-resume: (?<after>\d+)/iv.exec(text)?.groups?.after ?? 0);
 		socket.write(formatAnswer(idOf(text), [1, 2, 3, 4].filter(id => id > after).map(id => event(id)).join('')));
 	},
@@ -119,7 +119,7 @@
 
 Given('an endpoint that answers {string}', async function (this: GatewayWorld, name: string) {
 	const script = scripts[name];
-	assert.ok(script, `there is no script "${name}"`);
+	assert.ok(script, `unknown script "${name}"`);
 	this.scripted.push(await startScriptedEndpoint(script));
 });
 
@@ -128,7 +128,7 @@
 	this.received.push(await this.gatewayRun.call(`/${kind}/x`, {body: 'body'}));
 });
 
-When('a caller sends {int} {string} requests one after another', async function (this: GatewayWorld, count: number, kind: string) {
+When('a caller sends {int} {string} requests sequentially', async function (this: GatewayWorld, count: number, kind: string) {
 	await start(this);
 	await Array.from({length: count}).reduce<Promise<void>>(async before => {
 		await before;
@@ -136,39 +136,39 @@
 	}, Promise.resolve());
 });
 
-When('a caller sends an {string} request with {int} bytes', async function (this: GatewayWorld, kind: string, bytes: number) {
+When('a caller sends an {string} request with a body of {int} bytes', async function (this: GatewayWorld, kind: string, bytes: number) {
 	await start(this);
 	this.received.push(await this.gatewayRun.call(`/${kind}/x`, {body: 'x'.repeat(bytes)}));
 });
 
-When('a caller sends an {string} request with {int} ms left', async function (this: GatewayWorld, kind: string, leftMs: number) {
+When('a caller sends an {string} request with a deadline of {int} ms', async function (this: GatewayWorld, kind: string, deadlineMs: number) {
 	await start(this);
-	this.received.push(await this.gatewayRun.call(`/${kind}/x`, {body: 'body', headers: {'x-left': String(leftMs)}}));
+	this.received.push(await this.gatewayRun.call(`/${kind}/x`, {body: 'body', headers: {'x-left': String(deadlineMs)}}));
 });
 
-When('a caller sends an {string} request before the entry knows the newest configuration', async function (this: GatewayWorld, kind: string) {
+When('a caller sends an {string} request before the entry has the newest configuration', async function (this: GatewayWorld, kind: string) {
 	this.gatewayRun = new RunningGateway();
 	await this.gatewayRun.listen();
 	const call = this.gatewayRun.call(`/${kind}/x`, {body: 'body'});
-	await waitUntil('the request is there', async () => this.gatewayRun.gateway.inFlight === 1);
+	await waitUntil('the request has arrived', async () => this.gatewayRun.gateway.inFlight === 1);
 	this.gatewayRun.setEndpoints(this.scripted.map(({address}) => address));
 	this.received.push(await call);
 });
 
-When('a caller with {int} ms left asks for a model that takes {int} ms to load', async function (this: GatewayWorld, leftMs: number, _loadMs: number) {
+When('a caller sends a request with a deadline of {int} ms for a model that takes {int} ms to load', async function (this: GatewayWorld, deadlineMs: number, _loadMs: number) {
 	await start(this);
-	this.received.push(await this.gatewayRun.call('/unsafe/x', {body: 'body', headers: {'x-model': 'rare', 'x-left': String(leftMs)}}));
+	this.received.push(await this.gatewayRun.call('/unsafe/x', {body: 'body', headers: {'x-model': 'rare', 'x-left': String(deadlineMs)}}));
 });
 
-When('a caller with {int} ms left asks for a model that takes {int} ms to load, and it is loaded after the time of decision', async function (this: GatewayWorld, leftMs: number, _loadMs: number) {
+When('a caller sends a request with a deadline of {int} ms for a model that takes {int} ms to load, and it is loaded after the request is held', async function (this: GatewayWorld, deadlineMs: number, _loadMs: number) {
 	await start(this);
-	const call = this.gatewayRun.call('/patient/x', {body: 'body', headers: {'x-model': 'rare', 'x-left': String(leftMs)}});
-	await waitUntil('the request was decided on', async () => this.gatewayRun.logged.includes('request.held'));
+	const call = this.gatewayRun.call('/patient/x', {body: 'body', headers: {'x-model': 'rare', 'x-left': String(deadlineMs)}});
+	await waitUntil('the request is held', async () => this.gatewayRun.logged.includes('request.held'));
 	this.gatewayRun.setEndpoints(this.scripted.map(({address}) => address), ['m', 'rare']);
 	this.received.push(await call);
 });
 
-When('a caller\'s request waits for a model that nobody holds and the entry begins to stop', async function (this: GatewayWorld) {
+When('a request waits for a model that no endpoint holds, and the entry starts to drain', async function (this: GatewayWorld) {
 	await start(this);
 	const call = this.gatewayRun.call('/unsafe/x', {body: 'body', headers: {'x-model': 'absent'}});
 	await waitUntil('the request waits', async () => this.gatewayRun.logged.includes('request.waits'));
@@ -176,104 +176,104 @@
 	this.received.push(await call);
 });
 
-When('a request comes behind an answer in progress after the entry has stopped taking requests', async function (this: GatewayWorld) {
+When('a request is pipelined behind an answer in progress after the entry has stopped accepting requests', async function (this: GatewayWorld) {
 	await start(this);
 	const {gateway} = this.gatewayRun;
 	const caller = this.gatewayRun.connect();
 	caller.send('/unsafe/first');
-	await waitUntil('the first answer has begun', async () => caller.text().includes('ha'));
+	await waitUntil('the first answer has started', async () => caller.readText().includes('ha'));
 	const drained = gateway.drain(0);
-	await waitUntil('the entry takes no more', async () => !gateway.isAccepting);
+	await waitUntil('the entry accepts no more requests', async () => !gateway.isAccepting);
 	caller.send('/unsafe/second');
-	await waitUntil('the second request is there', async () => gateway.inFlight === 2);
-	releases.splice(0).forEach(release => {
-		release();
+	await waitUntil('the second request has arrived', async () => gateway.inFlight === 2);
+	heldAnswers.splice(0).forEach(send => {
+		send();
 	});
 	await drained;
-	const [, second = ''] = caller.text().split(/(?<=half)/v);
+	const [, second = ''] = caller.readText().split(/(?<=half)/v);
 	this.received.push({
 		status: Number(second.slice('HTTP/1.1 '.length).slice(0, 3)), body: second, isWhole: true, headers: {},
 	});
 });
 
-/** Long enough for everything on loopback to arrive, ms. */
+/** Time in which everything sent on loopback arrives, ms. */
 const settleMs = 150;
 
-When('a caller sends a request before the entry knows the newest configuration and leaves', async function (this: GatewayWorld) {
+When('a caller sends a request before the entry has the newest configuration, and disconnects', async function (this: GatewayWorld) {
 	this.gatewayRun = new RunningGateway();
 	await this.gatewayRun.listen();
 	const caller = this.gatewayRun.connect();
 	caller.send('/safe/x');
-	await waitUntil('the request is there', async () => this.gatewayRun.gateway.inFlight === 1);
-	caller.leave();
-	await waitUntil('the entry knows that the caller left', async () => this.gatewayRun.gateway.inFlight === 0);
+	await waitUntil('the request has arrived', async () => this.gatewayRun.gateway.inFlight === 1);
+	caller.disconnect();
+	await waitUntil('the entry has detected that the caller disconnected', async () => this.gatewayRun.gateway.inFlight === 0);
 });
 
-Then('nothing of it reaches an endpoint when the entry knows the configuration', async function (this: GatewayWorld) {
+Then('no endpoint receives the request when the entry has the configuration', async function (this: GatewayWorld) {
 	this.gatewayRun.setEndpoints(this.scripted.map(({address}) => address));
 	await waitFor(settleMs);
 	assert.equal(this.scripted[0]?.requests.length, 0);
 });
 
-When('a caller leaves after its second request came behind one that is not answered', async function (this: GatewayWorld) {
+When('a caller disconnects after it has pipelined a second request behind an unanswered one', async function (this: GatewayWorld) {
 	await start(this);
 	const caller = this.gatewayRun.connect();
 	caller.send('/safe/first');
 	caller.send('/safe/second');
-	await waitUntil('both run', async () => this.scripted[0]?.requests.length === 2);
-	caller.leave();
+	await waitUntil('both are running', async () => this.scripted[0]?.requests.length === 2);
+	caller.disconnect();
 });
 
-Then('no run goes on at the endpoint', async function (this: GatewayWorld) {
+Then('no request keeps running at the endpoint', async function (this: GatewayWorld) {
 	await waitUntil('all connections to the endpoint are closed', async () => this.scripted[0]?.open() === 0);
 });
 
-When('a caller leaves whose two requests wait for a model that is loaded after that', async function (this: GatewayWorld) {
+When('a caller disconnects while two of its requests wait for a model, which is loaded after that', async function (this: GatewayWorld) {
 	await start(this);
 	const caller = this.gatewayRun.connect();
 	caller.send('/patient/first', 'x-model: rare\r\nx-left: 60000\r\n');
 	caller.send('/patient/second', 'x-model: rare\r\nx-left: 60000\r\n');
 	await waitUntil('both wait', async () => this.gatewayRun.logged.filter(kind => kind === 'request.waits').length === 2);
-	caller.leave();
+	caller.disconnect();
 	await waitFor(settleMs);
 });
 
-Then('nothing of it reaches an endpoint when the model is there', async function (this: GatewayWorld) {
+Then('no endpoint receives the requests when the model is loaded', async function (this: GatewayWorld) {
 	this.gatewayRun.setEndpoints(this.scripted.map(({address}) => address), ['rare']);
 	await waitFor(settleMs);
 	assert.equal(this.scripted[0]?.requests.length, 0);
 });
 
-Given('an endpoint that answers {string} when asked for', async function (this: GatewayWorld, name: string) {
-	this.scripted.push(await startScriptedEndpoint(scripts[`${name} when asked for`]!));
+Given('an endpoint that answers {string} when the test releases it', async function (this: GatewayWorld, name: string) {
+	this.scripted.push(await startScriptedEndpoint(scripts[`${name} when the test releases it`]!));
 });
 
-When('a caller leaves while its second request behind another one is tried at the first endpoint, which then refuses it', async function (this: GatewayWorld) {
+When('a caller disconnects while its pipelined second request is in flight at the first endpoint, which then refuses it', async function (this: GatewayWorld) {
 	await start(this);
 	const [first, second] = this.scripted;
 	const caller = this.gatewayRun.connect();
 	caller.send('/safe/first');
 	caller.send('/safe/second');
-	await waitUntil('both are tried', async () => first!.requests.length + second!.requests.length === 2);
+	await waitUntil('both are in flight', async () => first!.requests.length + second!.requests.length === 2);
 	second!.requests.splice(0);
-	caller.leave();
+	caller.disconnect();
 	await waitFor(settleMs);
-	releases.splice(0).forEach(release => {
-		release();
+	heldAnswers.splice(0).forEach(send => {
+		send();
 	});
 });
 
-Then('the second endpoint gets no request', async function (this: GatewayWorld) {
+Then('the second endpoint receives no request', async function (this: GatewayWorld) {
 	await waitFor(settleMs);
 	assert.equal(this.scripted[1]?.requests.length, 0);
 });
 
-Given('an endpoint whose connections go silent after their first answer, while new ones work', async function (this: GatewayWorld) {
+Given('an endpoint whose connections stop answering after their first answer, while new connections work', async function (this: GatewayWorld) {
 	const answered = new Set<Socket>();
 	this.scripted.push(await startScriptedEndpoint((socket, text) => {
 		if (!answered.has(socket)) {
 			answered.add(socket);
-			// Held for a moment, so that requests that come together need a connection each.
+			// The delay makes concurrent requests use a connection each.
 			setTimeout(() => {
 				socket.write(formatAnswer(idOf(text), 'whole'));
 			}, settleMs);
@@ -281,21 +281,21 @@
 	}));
 });
 
-When('{int} requests were answered together, and one after them is not answered for a while', async function (this: GatewayWorld, count: number) {
+When('{int} concurrent requests are answered, and a later one stays unanswered', async function (this: GatewayWorld, count: number) {
 	await start(this);
 	const answers = await Promise.all(Array.from({length: count}, async () => this.gatewayRun.call('/safe/x')));
 	assert.deepEqual(answers.map(({status}) => status), Array.from({length: count}, () => 200));
 	void this.gatewayRun.call('/safe/x');
-	await waitUntil('the resting connections are closed', async () => this.scripted[0]!.open() === 1);
+	await waitUntil('the idle connections are closed', async () => this.scripted[0]!.open() === 1);
 });
 
-When('{int} requests were answered together, and one comes each {int} ms after them', async function (this: GatewayWorld, count: number, pauseMs: number) {
+When('{int} concurrent requests are answered, and then one arrives every {int} ms', async function (this: GatewayWorld, count: number, pauseMs: number) {
 	await start(this);
 	const answers = await Promise.all(Array.from({length: count}, async () => this.gatewayRun.call('/safe/x')));
 	assert.deepEqual(answers.map(({status}) => status), Array.from({length: count}, () => 200));
 	const startedAt = performance.now();
 	this.servedAfterMs = Number.POSITIVE_INFINITY;
-	await Array.from({length: Math.ceil(silenceLimitMs / pauseMs)}).reduce<Promise<void>>(async before => {
+	await Array.from({length: Math.ceil(loadDurationMs / pauseMs)}).reduce<Promise<void>>(async before => {
 		await before;
 		void this.gatewayRun.call('/safe/x').then(({status}) => {
 			this.servedAfterMs = Math.min(this.servedAfterMs, status === 200 ? performance.now() - startedAt : Number.POSITIVE_INFINITY);
@@ -304,23 +304,23 @@
 	}, Promise.resolve());
 });
 
-Then('the first of these that is answered has its answer within {int} ms of the first of all', function (this: GatewayWorld, limitMs: number) {
+Then('the first answer to these arrives within {int} ms of the first of them', function (this: GatewayWorld, limitMs: number) {
 	this.attach(`served again after ${Math.round(this.servedAfterMs)} ms`);
 	assert.ok(this.servedAfterMs <= limitMs, `${this.servedAfterMs} ms`);
 });
 
-Then('the next request is answered at once', async function (this: GatewayWorld) {
+Then('the next request succeeds', async function (this: GatewayWorld) {
 	const {status} = await this.gatewayRun.call('/safe/x');
 	assert.equal(status, 200);
 });
 
-Given('an endpoint where nobody listens any more', async function (this: GatewayWorld) {
+Given('an endpoint that no longer listens', async function (this: GatewayWorld) {
 	const endpoint = await startScriptedEndpoint(() => undefined);
 	endpoint.close();
 	this.scripted.push(endpoint);
 });
 
-When('a caller asks for a model that only the endpoint without listener holds, and it is loaded elsewhere', async function (this: GatewayWorld) {
+When('a caller requests a model that only the endpoint without a listener holds, and it is loaded at another endpoint', async function (this: GatewayWorld) {
 	await start(this);
 	const addresses = this.scripted.map(({address}) => address);
 	this.gatewayRun.setEndpoints(addresses, ['m']);
@@ -332,116 +332,116 @@
 	this.received.push(await call);
 });
 
-When('a caller has found that nobody listens at the last three, which alone hold its model, and another one asks for it', async function (this: GatewayWorld) {
+When('a request has found that the last three endpoints, which alone hold its model, do not listen, and another request for the model arrives', async function (this: GatewayWorld) {
 	await start(this);
 	const addresses = this.scripted.map(({address}) => address);
 	this.gatewayRun.setHoldings(addresses, [['m'], ['rare'], ['rare'], ['rare']]);
-	const ask = {body: 'body', headers: {'x-model': 'rare', 'x-left': '60000'}};
-	await this.gatewayRun.call('/patient/x', ask);
-	const other = this.gatewayRun.call('/patient/x', ask);
+	const options = {body: 'body', headers: {'x-model': 'rare', 'x-left': '60000'}};
+	await this.gatewayRun.call('/patient/x', options);
+	const other = this.gatewayRun.call('/patient/x', options);
 	await waitFor(settleMs);
 	this.gatewayRun.setHoldings(addresses, [['m', 'rare'], ['rare'], ['rare'], ['rare']]);
 	this.received.push(await other);
 });
 
-Then('the other one waits, and gets status {int} when the model is loaded elsewhere', function (this: GatewayWorld, status: number) {
+Then('the other request waits, and gets status {int} when the model is loaded at another endpoint', function (this: GatewayWorld, status: number) {
 	assert.deepEqual(this.received.map(received => received.status), [status]);
 	assert.equal(this.gatewayRun.logged.includes('request.waits'), true);
 });
 
-Then('control was told which endpoint is absent', function (this: GatewayWorld) {
+Then('the demand report lists the absent endpoint', function (this: GatewayWorld) {
 	assert.deepEqual(this.gatewayRun.demand.takeReport().absent, ['e1']);
 });
 
-When('a caller\'s request is held for a load that is then given up', async function (this: GatewayWorld) {
+When('a request is held for a load that is then cancelled', async function (this: GatewayWorld) {
 	await start(this);
 	const addresses = this.scripted.map(({address}) => address);
 	this.gatewayRun.setEndpoints(addresses, ['m'], {model: 'rare', expectedMs: 1000, source: WeightSource.Disk});
 	const call = this.gatewayRun.call('/unsafe/x', {body: 'body', headers: {'x-model': 'rare', 'x-left': '5000'}});
-	await waitUntil('the request was decided on', async () => this.gatewayRun.logged.includes('request.held'));
+	await waitUntil('the request is held', async () => this.gatewayRun.logged.includes('request.held'));
 	this.gatewayRun.setEndpoints(addresses);
 	this.received.push(await call);
 });
 
-Then('it was refused before half of its time was over', function (this: GatewayWorld) {
+Then('it is refused before half of its timeout has passed', function (this: GatewayWorld) {
 	assert.ok(this.gatewayRun.logged.includes('request.given-up'));
 	assert.equal(this.gatewayRun.logged.includes('request.expired'), false);
 	assert.ok(this.gatewayRun.longestMs < 1000);
 });
 
-Then('it gets status {int} with the body {string} whole', function (this: GatewayWorld, status: number, body: string) {
+Then('the caller gets status {int} with the complete body {string}', function (this: GatewayWorld, status: number, body: string) {
 	assert.deepEqual(this.received.map(received => [received.status, received.body, received.isWhole]), [[status, body, true]]);
 });
 
-Then('it gets status {int} with the events {string} whole', function (this: GatewayWorld, status: number, ids: string) {
+Then('the caller gets status {int} with the complete events {string}', function (this: GatewayWorld, status: number, ids: string) {
 	const [received] = this.received;
 	assert.equal(received?.status, status);
 	assert.equal(received.isWhole, true);
 	assert.equal(received.body, ids.split(' ').map(id => event(Number(id))).join(''));
 });
 
-Then('it gets status {int} with the word {string}', function (this: GatewayWorld, status: number, word: string) {
+Then('the caller gets status {int} with the code {string}', function (this: GatewayWorld, status: number, code: string) {
 	assert.equal(this.received[0]?.status, status);
-	assert.match(this.received[0].body, new RegExp(word, 'v'));
+	assert.match(this.received[0].body, new RegExp(code, 'v'));
 });
 
-Then('it gets no whole answer', function (this: GatewayWorld) {
+Then('the caller gets no complete answer', function (this: GatewayWorld) {
 	assert.equal(this.received[0]?.status === 200 && this.received[0].isWhole, false);
 });
 
-Then('each answer is its own', function (this: GatewayWorld) {
+Then('each request gets its own answer', function (this: GatewayWorld) {
 	assert.deepEqual(this.received.map(({body}) => body), ['r1', 'r2', 'r3']);
 });
 
-Then('the endpoint got {int} request(s)', function (this: GatewayWorld, count: number) {
+Then('the endpoint received {int} request(s)', function (this: GatewayWorld, count: number) {
 	assert.equal(this.scripted[0]?.requests.length, count);
 });
 
-When('{int} callers connect and send a request each', async function (this: GatewayWorld, count: number) {
+When('{int} callers each connect and send a request', async function (this: GatewayWorld, count: number) {
 	await start(this);
 	this.received = await Promise.all(Array.from({length: count}, async () => this.gatewayRun.callAnew('/safe/x')));
 });
 
-Then('all of them get status {int}', function (this: GatewayWorld, status: number) {
+Then('all callers get status {int}', function (this: GatewayWorld, status: number) {
 	assert.equal(this.received.every(received => received.status === status), true);
 });
 
-type LearningWorld = World & {headTimes: FirstByteTimes; board: EndpointTracker; now: number};
+type LearningWorld = World & {firstByteTimes: FirstByteTimes; tracker: EndpointTracker; now: number};
 
-/** Requests that an estimate gets, and the part of them that something else delays. */
+/** Number of requests behind an estimate. */
 const learningRequests = 60;
 
-Given('engines that begin an answer in {int} ms, and {int} in {int} answers later by {int} ms', function (this: LearningWorld, headMs: number, late: number, outOf: number, laterMs: number) {
-	this.headTimes = new FirstByteTimes();
+Given('engines with a time to first byte of {int} ms, and {int} in {int} answers delayed by {int} ms', function (this: LearningWorld, firstByteMs: number, late: number, outOf: number, delayMs: number) {
+	this.firstByteTimes = new FirstByteTimes();
 	Array.from({length: learningRequests}).forEach((_, index) => {
-		this.headTimes.record('m', 1000, headMs + (index % outOf < late ? laterMs : 0));
+		this.firstByteTimes.record('m', 1000, firstByteMs + (index % outOf < late ? delayMs : 0));
 	});
 });
 
-Given('engines that read {int} tokens in a ms, and prompts of which {int} in {int} have {int} tokens and the others {int}', function (this: LearningWorld, rate: number, typical: number, outOf: number, tokens: number, others: number) {
-	this.headTimes = new FirstByteTimes();
+Given('engines that prefill {int} tokens per ms, and prompts of which {int} in {int} have {int} tokens and the others {int}', function (this: LearningWorld, rate: number, typical: number, outOf: number, tokens: number, others: number) {
+	this.firstByteTimes = new FirstByteTimes();
 	Array.from({length: learningRequests * 10}).forEach((_, index) => {
 		const prompt = index % outOf < typical ? tokens : others;
-		this.headTimes.record('m', prompt, prompt / rate);
+		this.firstByteTimes.record('m', prompt, prompt / rate);
 	});
 });
 
-Then('an entry expects about {int} ms after {int} requests', function (this: LearningWorld, headMs: number, _requests: number) {
-	const learned = this.headTimes.getFirstByteMs('m');
-	assert.ok(learned > headMs * 0.6 && learned < headMs * 1.6, `${learned}`);
+Then('an entry estimates about {int} ms after {int} requests', function (this: LearningWorld, firstByteMs: number, _requests: number) {
+	const learned = this.firstByteTimes.getFirstByteMs('m');
+	assert.ok(learned > firstByteMs * 0.6 && learned < firstByteMs * 1.6, `${learned}`);
 });
 
-Given('two engines with one load, of which one began its last answers {int} ms late', function (this: LearningWorld, lateMs: number) {
+Given('two engines with equal load, of which one started its last answers {int} ms late', function (this: LearningWorld, lateMs: number) {
 	this.now = 0;
-	this.board = new EndpointTracker(() => this.now);
-	this.board.recordStartDelay('late', lateMs);
-	this.board.recordStartDelay('late', lateMs);
+	this.tracker = new EndpointTracker(() => this.now);
+	this.tracker.recordStartDelay('late', lateMs);
+	this.tracker.recordStartDelay('late', lateMs);
 });
 
-/** Chooses between the two engines; `random` is added to what each of them costs, in turn. */
-const chooseEngine = ({board, now}: LearningWorld, random: number[]): string | undefined =>
+/** Chooses between the two engines; `random` has the number added to the cost of each. */
+const chooseEngine = ({tracker, now}: LearningWorld, random: number[]): string | undefined =>
 	chooseEndpoint({
-		endpoints: ['late', 'other'].map(id => createEndpoint(id)), model: undefined, adapter: undefined, failureDomain: 'a', attemptedIds: new Set(), permitRetryAt: new Map(), isLimited: () => false, limitedProbeMs: Number.POSITIVE_INFINITY, now, getObservations: id => board.getOrCreate(id), random: () => random.shift() ?? 0, firstByteMs: 100, prefillMsPerToken: 0.1,
+		endpoints: ['late', 'other'].map(id => createEndpoint(id)), model: undefined, adapter: undefined, failureDomain: 'a', attemptedIds: new Set(), permitRetryAt: new Map(), isLimited: () => false, limitedProbeMs: Number.POSITIVE_INFINITY, now, getObservations: id => tracker.getOrCreate(id), random: () => random.shift() ?? 0, firstByteMs: 100, prefillMsPerToken: 0.1,
 	})?.id;
 
 Then('the other one is chosen, and either of them {int} ms later', function (this: LearningWorld, laterMs: number) {
@@ -451,27 +451,27 @@
 	assert.equal(chooseEngine(this, [1, 0]), 'other');
 });
 
-type RetryWorld = World & {allowedRetries: number; madeRetries: number};
+type RetryWorld = World & {allowedRetries: number; grantedRetries: number};
 
 const retryWindowMs = 10_000;
-/** Tries of one entry to retry, more than any share. */
-const retryTries = 300;
+/** Retries that one entry requests, more than any share. */
+const requestedRetries = 300;
 
-Given('operators allow {int} retries in a window besides a part of the requests', function (this: RetryWorld, count: number) {
+Given('operators allow {int} retries in a window in addition to a share of the requests', function (this: RetryWorld, count: number) {
 	this.allowedRetries = count;
 });
 
-When('{int} entries get a request each and every one of them fails', function (this: RetryWorld, entries: number) {
-	const made = Array.from({length: entries}, () => {
-		const allowance = new ServiceRetryBudget({
+When('{int} entry/entries receives/receive one request each, and every attempt fails', function (this: RetryWorld, entries: number) {
+	const granted = Array.from({length: entries}, () => {
+		const budget = new ServiceRetryBudget({
 			ratio: 0.2, slack: this.allowedRetries, windowMs: retryWindowMs,
 		}, () => 0, () => entries);
-		allowance.recordRequest('s');
-		return Array.from({length: retryTries}).filter(() => allowance.takeRetry('s')).length;
+		budget.recordRequest('s');
+		return Array.from({length: requestedRetries}).filter(() => budget.takeRetry('s')).length;
 	});
-	this.madeRetries = made.reduce((sum, count) => sum + count, 0);
+	this.grantedRetries = granted.reduce((sum, count) => sum + count, 0);
 });
 
-Then('they make at most {int} retries', function (this: RetryWorld, limit: number) {
-	assert.ok(this.madeRetries <= limit, `${this.madeRetries} retries`);
+Then('at most {int} retries are made in total', function (this: RetryWorld, limit: number) {
+	assert.ok(this.grantedRetries <= limit, `${this.grantedRetries} retries`);
 });
--- a/packages/mastvalve-gateway/__tests__/keys-and-limits.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/keys-and-limits.steps.ts
@@ -97,11 +97,11 @@
 When('a caller asks with the keys {string} and {string} in two fields', async function (this: KeysWorld, first: string, second: string) {
 	const connection = this.entryRun.connect();
 	connection.send('/safe/x', `authorization: Bearer ${first}\r\nAuthorization: Bearer ${second}\r\n`);
-	await waitUntil('an answer has come', async () => connection.text().includes('\r\n\r\n'));
+	await waitUntil('an answer has come', async () => connection.readText().includes('\r\n\r\n'));
 	this.got.push({
-		status: Number(/^HTTP\/1.1 (?<status>\d+)/v.exec(connection.text())?.groups?.status), body: connection.text(), isWhole: true, headers: {},
+		status: Number(/^HTTP\/1.1 (?<status>\d+)/v.exec(connection.readText())?.groups?.status), body: connection.readText(), isWhole: true, headers: {},
 	});
-	connection.leave();
+	connection.disconnect();
 });
 
 When('a caller asks on an anonymous route with the key {string}', async function (this: KeysWorld, key: string) {
