--- a/packages/mastvalve-replication/src/log-node.ts
+++ b/packages/mastvalve-replication/src/log-node.ts
@@ -134,8 +134,9 @@
 	}
 
 	/**
-	 * Returns the time after checking for a suspension. Every use of a lease reads the clock here: the steady clock does not
-	 * advance during a suspension, so a leader that was suspended for longer than its lease would still consider it valid.
+	 * Returns the time after checking for a suspension. Every use of a lease and every claim to the newest state reads the clock
+	 * here: the steady clock does not advance during a suspension, so a leader that was suspended for longer than its lease
+	 * would still consider it valid.
 	 */
 	private readClock(): number {
 		const {clock, replica, onSuspended} = this.options;
@@ -209,7 +210,7 @@
 		effects.messages.forEach(send);
 		this.applyEffects(effects);
 		this.reportRole();
-		this.snapshotIfDue();
+		this.takeSnapshotIfDue();
 	}
 
 	private applyEffects(effects: Effects): void {
@@ -255,7 +256,7 @@
 		});
 	}
 
-	private snapshotIfDue(): void {
+	private takeSnapshotIfDue(): void {
 		const {replica, machine, snapshotIntervalEntries, needsCompaction} = this.options;
 		const entries = this.appliedIndex - this.snapshotIndex;
 		if (entries >= snapshotIntervalEntries || (entries > 0 && needsCompaction?.())) {
--- a/packages/mastvalve-replication/src/replica-core.ts
+++ b/packages/mastvalve-replication/src/replica-core.ts
@@ -154,7 +154,7 @@
 	}
 
 	/** Returns all voters and learners except this replica. */
-	otherReplicas(): ReplicaId[] {
+	listOtherReplicas(): ReplicaId[] {
 		return [...this.membership.voters, ...this.membership.learners].filter(id => id !== this.id);
 	}
 
--- a/packages/mastvalve-replication/src/replica-leadership.ts
+++ b/packages/mastvalve-replication/src/replica-leadership.ts
@@ -64,7 +64,7 @@
 
 const broadcast = (core: ReplicaCore, now: number): void => {
 	core.nextHeartbeatAt = now + core.times.heartbeatMs;
-	core.otherReplicas().forEach(id => {
+	core.listOtherReplicas().forEach(id => {
 		sendEntries(core, id, now);
 	});
 };
--- a/packages/mastvalve-replication/src/replica.ts
+++ b/packages/mastvalve-replication/src/replica.ts
@@ -156,7 +156,7 @@
 	/** Sends unsent entries to all other replicas; called once after a batch of proposals. */
 	flush(now: number): void {
 		if (this.core.role === Role.Leader) {
-			this.core.otherReplicas().filter(id => this.core.getProgress(id).nextIndex <= this.core.lastIndex).forEach(id => {
+			this.core.listOtherReplicas().filter(id => this.core.getProgress(id).nextIndex <= this.core.lastIndex).forEach(id => {
 				sendEntries(this.core, id, now);
 			});
 		}
@@ -164,7 +164,7 @@
 
 	/** Transfers leadership to the most advanced voter that is caught up. The lease ends immediately and for the rest of the term. */
 	transferLeadership(now: number): void {
-		const target = this.core.otherReplicas()
+		const target = this.core.listOtherReplicas()
 			.filter(id => this.core.membership.voters.includes(id) && this.isCaughtUp(id, now))
 			.toSorted((a, b) => this.core.getProgress(b).matchIndex - this.core.getProgress(a).matchIndex)[0];
 		if (this.core.role === Role.Leader && target) {
