--- a/packages/mastvalve-bench/src/followers/followers-bench.ts
+++ b/packages/mastvalve-bench/src/followers/followers-bench.ts
@@ -94,7 +94,7 @@
 		const ending = new AbortController();
 		// Control names its own address, which leads past the link: it counts as farthest.
 		const follower = new FleetFollower({
-			client, view, listSources: () => [near], distanceTo: address => (address === near ? 0 : 1), access: {canJudge: true, recordAnswer: () => undefined}, now: () => systemClock.now(), onEvent: () => undefined,
+			client, view, listSources: () => [near], distanceTo: address => (address === near ? 0 : 1), access: {canAuthorize: true, recordAnswer: () => undefined}, now: () => systemClock.now(), onEvent: () => undefined,
 		});
 		void follower.run(ending.signal);
 		return {
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/limited-fleet.ts
@@ -210,7 +210,7 @@
 			onEvent: () => undefined,
 		});
 		const limiter = new EndpointLimiter({
-			view: {find: id => view.get(id)}, board: tracker, client, now,
+			view: {findEndpoint: id => view.get(id)}, tracker, client, now,
 		});
 		const entry: Entry = {
 			isDisconnected: false, tracker, limiter, view, buckets: new Map(), ending, receivedLimits: new Map(),
--- a/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
@@ -19,7 +19,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {findFreePorts} from '../../../../features/support/free-ports.js';
 import {
-	AccessChecker, CapacityWaiters, CrashWatch, EndpointTracker, FieldOwner, FleetView, EndpointLimiter, Gateway, FirstByteTimes, LimitClient, ModelDemand, probeListener, RequestQuarantine, ServiceRetryBudget, UpstreamAgent, type Dialect,
+	AccessChecker, CapacityWaiters, CrashDetector, EndpointTracker, FieldOwner, FleetView, EndpointLimiter, Gateway, FirstByteTimes, LimitClient, ModelDemand, probeListener, RequestQuarantine, ServiceRetryBudget, UpstreamAgent, type Dialect,
 } from '../../src/index.js';
 
 const textOf = (value: string | string[] | undefined): string | undefined => (Array.isArray(value) ? value[0] : value);
@@ -119,17 +119,17 @@
 			access: this.access,
 			limits,
 			limiter: new EndpointLimiter({
-				view: this.view, board: tracker, client: limits, now,
+				view: this.view, tracker, client: limits, now,
 			}),
 			retryBudget: new ServiceRetryBudget({ratio: 1, slack: 5, windowMs: 10_000}, now, () => 1),
 			firstByteTimes: this.firstByteTimes,
 			demand: this.demand,
 			quarantine,
-			crashDetector: new CrashWatch({
+			crashDetector: new CrashDetector({
 				now,
 				probe: probeListener,
 				isAlive: () => true,
-				isHarmless: () => false,
+				hasSucceededRecently: () => false,
 				onCrash(report) {
 					quarantine.recordCrash(report);
 				},
--- a/packages/mastvalve-gateway/__tests__/following.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/following.steps.ts
@@ -14,7 +14,7 @@
 import {callUntilAborted, systemClock, waitFor} from 'mastvalve-utils';
 import {findFreePorts} from '../../../features/support/free-ports.js';
 import {waitUntil} from '../../../features/support/conditions.js';
-import {FleetFollower, FleetView, SourceChoice} from '../src/index.js';
+import {FleetFollower, FleetView, SourceSelector} from '../src/index.js';
 
 type FollowWorld = World & {
 	/** Where control is reached: at the link's near end. */
@@ -72,7 +72,7 @@
 	world.slowLink = await SlowLink.open(world.address, world.listen, kilobytesPerSecond * kilobyte);
 	world.view = new FleetView(() => systemClock.now());
 	const follower = new FleetFollower({
-		client, view: world.view, listSources: () => [world.address], distanceTo: () => 0, access: {canJudge: true, recordAnswer: () => undefined}, now: () => systemClock.now(), onEvent: () => undefined,
+		client, view: world.view, listSources: () => [world.address], distanceTo: () => 0, access: {canAuthorize: true, recordAnswer: () => undefined}, now: () => systemClock.now(), onEvent: () => undefined,
 	});
 	void follower.run(world.ending.signal);
 };
@@ -172,7 +172,7 @@
 });
 
 /** An entry in virtual time; it asks one instance each time step, as its follower does. */
-type ChoiceWorld = World & {choice: SourceChoice; now: number; isNearAway: boolean; nearAsked: number; newsAt: number[]; followed: string | undefined};
+type ChoiceWorld = World & {choice: SourceSelector; now: number; isNearAway: boolean; nearAsked: number; newsAt: number[]; followed: string | undefined};
 
 const far = '10.2.0.1:1';
 const near = '10.1.0.1:1';
@@ -181,7 +181,7 @@
 const silentMs = 800;
 
 const askOnce = (world: ChoiceWorld): void => {
-	const address = world.choice.choose([far, near]) ?? far;
+	const address = world.choice.select([far, near]) ?? far;
 	const isAway = address === near && world.isNearAway;
 	world.nearAsked += address === near ? 1 : 0;
 	world.now += isAway ? silentMs : answeredMs;
@@ -207,7 +207,7 @@
 	this.nearAsked = 0;
 	this.newsAt = [];
 	this.isNearAway = true;
-	this.choice = new SourceChoice({distanceTo: address => (address === near ? 0 : 1), now: () => this.now});
+	this.choice = new SourceSelector({distanceTo: address => (address === near ? 0 : 1), now: () => this.now});
 	this.choice.recordAnswer(far);
 });
 
--- a/packages/mastvalve-gateway/__tests__/keys-and-limits.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/keys-and-limits.steps.ts
@@ -60,7 +60,7 @@
 Given('control was sure of the entry\'s keys {int} ms ago', function (this: KeysWorld, ageMs: number) {
 	const {access} = this.entryRun;
 	this.entryRun.suspendedMs += 1000;
-	assert.equal(access.canJudge, false);
+	assert.equal(access.canAuthorize, false);
 	access.recordAnswer(systemClock.now(), -ageMs);
 });
 
--- a/packages/mastvalve-gateway/src/access/access-checker.ts
+++ b/packages/mastvalve-gateway/src/access/access-checker.ts
@@ -20,55 +20,55 @@
 };
 
 /** How long requests wait for new evidence after a suspension, ms: the follower may have to try another control instance, at which it gives up after 0.8 s without a byte. */
-export const evidenceWaitMs = 600;
+export const renewalWaitMs = 600;
 
 /** The checker. */
 export class AccessChecker {
-	private readonly evidence: KeyFreshness;
+	private readonly freshness: KeyFreshness;
 	private readonly suspension: SuspensionWatch;
 
 	constructor(private readonly options: AccessCheckerOptions) {
-		this.evidence = new KeyFreshness(options.keyRevocationMs);
+		this.freshness = new KeyFreshness(options.keyRevocationMs);
 		this.suspension = new SuspensionWatch(options.clock);
 	}
 
 	/** Judges a request at this moment. */
-	judge(key: PresentedKey, route: Pick<Route, 'isAnonymous'>): AccessDecision {
+	authorize(key: PresentedKey, route: Pick<Route, 'isAnonymous'>): AccessDecision {
 		const workspaces = this.options.view.configuration?.workspaces;
 		return authorizeRequest({
-			key, workspaces, isAnonymous: route.isAnonymous, hasFreshKeys: this.isSure,
+			key, workspaces, isAnonymous: route.isAnonymous, hasFreshKeys: this.hasFreshKeys,
 		});
 	}
 
 	/** Whether requests that need a key can be served; true where none is asked for. */
-	get canJudge(): boolean {
-		return this.options.view.configuration?.workspaces === undefined || this.isSure;
+	get canAuthorize(): boolean {
+		return this.options.view.configuration?.workspaces === undefined || this.hasFreshKeys;
 	}
 
 	/** Whether the evidence was ended by a suspension and is expected back. */
-	get isAwaiting(): boolean {
-		return !this.canJudge && this.evidence.isAwaitingRenewal(this.options.clock.now(), evidenceWaitMs);
+	get isAwaitingRenewal(): boolean {
+		return !this.canAuthorize && this.freshness.isAwaitingRenewal(this.options.clock.now(), renewalWaitMs);
 	}
 
 	/** Age of the evidence, ms. */
-	get evidenceAgeMs(): number {
-		return this.evidence.computeAgeMs(this.options.clock.now());
+	get confirmationAgeMs(): number {
+		return this.freshness.computeAgeMs(this.options.clock.now());
 	}
 
 	/** Control answered a question that was asked at `askedAt`. */
 	recordAnswer(askedAt: number, sureAfterMs: number): void {
-		this.endIfSuspended();
-		this.evidence.recordAnswer(askedAt, sureAfterMs);
+		this.invalidateIfSuspended();
+		this.freshness.recordAnswer(askedAt, sureAfterMs);
 	}
 
-	private get isSure(): boolean {
-		this.endIfSuspended();
-		return this.evidence.isFresh(this.options.clock.now());
+	private get hasFreshKeys(): boolean {
+		this.invalidateIfSuspended();
+		return this.freshness.isFresh(this.options.clock.now());
 	}
 
-	private endIfSuspended(): void {
+	private invalidateIfSuspended(): void {
 		if (this.suspension.hasJumped()) {
-			this.evidence.invalidate(this.options.clock.now());
+			this.freshness.invalidate(this.options.clock.now());
 			this.options.onSuspended();
 		}
 	}
--- a/packages/mastvalve-gateway/src/access/admit-caller.ts
+++ b/packages/mastvalve-gateway/src/access/admit-caller.ts
@@ -13,7 +13,7 @@
 import {isGranted} from './access-checker.js';
 
 /** When to ask again at an entry that may not believe its keys, s; another entry is likely to be sure at once. */
-const unsureRetrySeconds = 0.2;
+const staleKeysRetrySeconds = 0.2;
 const msPerSecond = 1000;
 
 /** A caller that was let in. */
@@ -32,16 +32,16 @@
 export const keyRefusals: Record<AccessKind.UnknownKey | AccessKind.StaleKeys, ProblemAnswer> = {
 	[AccessKind.UnknownKey]: {status: 401, code: 'key-unknown', message: 'No workspace holds the key of this request. Nothing was run.'},
 	[AccessKind.StaleKeys]: {
-		status: 503, code: 'keys-unsure', message: 'This entry can\'t tell at this moment which keys are valid. Nothing was run.', retryAfterSeconds: unsureRetrySeconds,
+		status: 503, code: 'keys-unsure', message: 'This entry can\'t tell at this moment which keys are valid. Nothing was run.', retryAfterSeconds: staleKeysRetrySeconds,
 	},
 };
 
 /** Lets a caller in; undefined when it was refused. */
 export const admitCaller = async (core: GatewayCore, {requestId, route, caller, key}: AdmissionInput, reply: Reply): Promise<Admission | undefined> => {
-	const access = core.access.judge(key, route);
+	const access = core.access.authorize(key, route);
 	if (!isGranted(access)) {
 		core.log('request.refused', {
-			request: requestId, route: route.name, reason: access.kind, key: key.kind, evidenceAgeMs: Math.round(core.access.evidenceAgeMs), version: core.view.configuration?.version,
+			request: requestId, route: route.name, reason: access.kind, key: key.kind, evidenceAgeMs: Math.round(core.access.confirmationAgeMs), version: core.view.configuration?.version,
 		});
 		core.observer.recordRefusal(access.kind);
 		reply.send(keyRefusals[access.kind]);
--- a/packages/mastvalve-gateway/src/fleet/active-configuration.ts
+++ b/packages/mastvalve-gateway/src/fleet/active-configuration.ts
@@ -23,29 +23,29 @@
 };
 
 /** Bounds and services before the first frame has come. */
-const emptyFrame: ConfigurationFrame = {
+const initialFrame: ConfigurationFrame = {
 	needsKeys: false, services: [], limits: {
 		maxHeaderBytes: 0, maxBodyBytes: 0, headerTimeoutMs: 0, idleTimeoutMs: 0,
 	},
 };
 
 /** What was gathered so far. */
-export class ConfigurationDraft {
+export class ConfigurationAssembler {
 	private readonly routes = new Map<string, Route>();
 	private readonly workspaces = new Map<string, Workspace>();
-	private frame = emptyFrame;
+	private frame = initialFrame;
 
 	/** Takes changes in; the result is the newest version that they complete, if any. */
-	take({isWhole, changes}: FeedPage<ConfigurationChange>): ActiveConfiguration | undefined {
+	applyPage({isWhole, changes}: FeedPage<ConfigurationChange>): ActiveConfiguration | undefined {
 		if (isWhole) {
 			this.routes.clear();
 			this.workspaces.clear();
 		}
 
-		return changes.reduce<ActiveConfiguration | undefined>((completed, change) => this.takeOne(change) ?? completed, undefined);
+		return changes.reduce<ActiveConfiguration | undefined>((completed, change) => this.applyChange(change) ?? completed, undefined);
 	}
 
-	private takeOne(change: ConfigurationChange): ActiveConfiguration | undefined {
+	private applyChange(change: ConfigurationChange): ActiveConfiguration | undefined {
 		switch (change.kind) {
 			case ConfigurationChangeKind.Route: {
 				this.routes.set(keyOfRoute(change.route), change.route);
@@ -69,12 +69,12 @@
 			}
 
 			case ConfigurationChangeKind.Version: {
-				return this.complete(change.version);
+				return this.createActive(change.version);
 			}
 		}
 	}
 
-	private complete(version: number): ActiveConfiguration {
+	private createActive(version: number): ActiveConfiguration {
 		const workspaces = this.frame.needsKeys ? [...this.workspaces.values()] : [];
 		return {
 			...this.frame,
--- a/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
+++ b/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
@@ -8,34 +8,34 @@
 import type {ModelDemand} from '../routing/model-demand.js';
 
 /** Time between reports, ms. */
-const reportPauseMs = 1000;
+const reportIntervalMs = 1000;
 /** Pause before a report that did not arrive is followed by the next, ms. */
-const retryPauseMs = 150;
+const retryDelayMs = 150;
 /** Longest time without a byte, ms. */
 const silenceMs = 500;
 
 /** The reporter. */
 export class DemandReporter {
 	/** Entries that report to the leader, as last heard; undefined before the first answer. */
-	entries: number | undefined;
-	private wake: AbortController = new AbortController();
+	entryCount: number | undefined;
+	private pauseController: AbortController = new AbortController();
 
 	constructor(private readonly client: PeerClient, private readonly readLeader: () => string | undefined) {}
 
 	/** Reports now. */
-	hurry(): void {
-		this.wake.abort();
+	reportNow(): void {
+		this.pauseController.abort();
 	}
 
 	/** Reports until the signal aborts. */
 	async run(demand: ModelDemand, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			this.wake = new AbortController();
+			this.pauseController = new AbortController();
 			// One report after the other; what comes meanwhile goes into the next.
 			// eslint-disable-next-line no-await-in-loop
-			const isHeard = await this.report(demand, signal);
+			const isReceived = await this.report(demand, signal);
 			// eslint-disable-next-line no-await-in-loop
-			await waitFor(isHeard ? reportPauseMs : retryPauseMs, isHeard ? AbortSignal.any([this.wake.signal, signal]) : signal);
+			await waitFor(isReceived ? reportIntervalMs : retryDelayMs, isReceived ? AbortSignal.any([this.pauseController.signal, signal]) : signal);
 		}
 	}
 
@@ -49,7 +49,7 @@
 		const answer = await this.client.call<DemandResponse>({
 			address, path: '/demand', body: demand.takeReport(), idleTimeoutMs: silenceMs, signal,
 		});
-		this.entries = answer.isOk() ? answer.value.entries : this.entries;
+		this.entryCount = answer.isOk() ? answer.value.entries : this.entryCount;
 		return answer.isOk();
 	}
 }
--- a/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
@@ -10,14 +10,14 @@
 import {waitFor} from 'mastvalve-utils';
 import type {AccessChecker} from '../access/access-checker.js';
 import type {FleetView} from './fleet-view.js';
-import {SourceChoice} from './source-choice.js';
+import {SourceSelector} from './source-selector.js';
 
 /** What a follower is made from. */
 export type FleetFollowerOptions = {
 	client: PeerClient;
 	view: FleetView;
 	/** Hears up to which moment control was sure of what it answered. */
-	access: Pick<AccessChecker, 'recordAnswer' | 'canJudge'>;
+	access: Pick<AccessChecker, 'recordAnswer' | 'canAuthorize'>;
 	/** Control instances to ask besides those that an answer has named. */
 	listSources: () => string[];
 	/** Lower is nearer. */
@@ -26,14 +26,14 @@
 	now: () => number;
 	onEvent: (kind: string, detail: string) => void;
 	/** Called when another leader is known than before. */
-	onLeader?: () => void;
+	onLeaderChange?: () => void;
 };
 
 /** How long control may hold a question until something changes, ms. */
-const waitMs = 400;
+const longPollMs = 400;
 /** An instance with which no byte moves for this long is out of reach, ms. The sum with a second try is below the bound for configurations. */
 const silenceMs = 800;
-const pauseMs = 60;
+const noSourceDelayMs = 60;
 
 /** The follower. */
 export class FleetFollower {
@@ -41,13 +41,13 @@
 	leader: string | undefined;
 	/** Addresses of all control instances, as last heard. */
 	private members: string[] = [];
-	private readonly sources: SourceChoice;
+	private readonly sources: SourceSelector;
 	private isConnected = false;
 	/** Aborts the question that is on its way. */
-	private asking = new AbortController();
+	private requestController = new AbortController();
 
 	constructor(private readonly options: FleetFollowerOptions) {
-		this.sources = new SourceChoice(options);
+		this.sources = new SourceSelector(options);
 	}
 
 	/** Control instances as last heard, the nearest first. */
@@ -56,23 +56,23 @@
 	}
 
 	/** Asks anew at once: what the question on its way brings may be older than it seems. */
-	hurry(): void {
-		this.asking.abort();
+	restartRequest(): void {
+		this.requestController.abort();
 	}
 
 	/** Follows until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		let candidates = this.listCandidates();
 		while (!signal.aborted) {
-			const address = this.sources.choose(this.members) ?? candidates.shift();
+			const address = this.sources.select(this.members) ?? candidates.shift();
 			if (address === undefined) {
 				candidates = this.listCandidates();
 				// eslint-disable-next-line no-await-in-loop
-				await waitFor(pauseMs, signal);
+				await waitFor(noSourceDelayMs, signal);
 			} else {
 				// One question after the other.
 				// eslint-disable-next-line no-await-in-loop
-				await this.ask(address, signal);
+				await this.request(address, signal);
 			}
 		}
 	}
@@ -82,16 +82,16 @@
 			.toSorted((a, b) => this.options.distanceTo(a) - this.options.distanceTo(b));
 	}
 
-	private async ask(address: string, signal: AbortSignal): Promise<void> {
+	private async request(address: string, signal: AbortSignal): Promise<void> {
 		const {client, view, access, now, onEvent} = this.options;
-		const mustBeNewest = !view.isSynced || !access.canJudge;
-		const asking = new AbortController();
-		this.asking = asking;
+		const mustBeNewest = !view.isSynced || !access.canAuthorize;
+		const requestController = new AbortController();
+		this.requestController = requestController;
 		const askedAt = now();
 		const answer = await client.call<FollowResponse>({
-			address, path: '/follow', idleTimeoutMs: silenceMs, signal: AbortSignal.any([signal, asking.signal]), body: {place: view.place, waitMs, mustBeNewest},
+			address, path: '/follow', idleTimeoutMs: silenceMs, signal: AbortSignal.any([signal, requestController.signal]), body: {place: view.cursor, waitMs: longPollMs, mustBeNewest},
 		});
-		if (answer.isErr() && asking.signal.aborted) {
+		if (answer.isErr() && requestController.signal.aborted) {
 			return;
 		}
 
@@ -107,24 +107,24 @@
 
 		const {update, members, leader, sureAfterMs} = answer.value;
 		this.members = members;
-		const isOtherLeader = this.leader !== leader;
+		const hasNewLeader = this.leader !== leader;
 		this.leader = leader;
-		if (isOtherLeader) {
-			this.options.onLeader?.();
+		if (hasNewLeader) {
+			this.options.onLeaderChange?.();
 		}
 
-		const isOther = this.sources.recordAnswer(address);
-		const before = view.configuration?.version;
+		const hasNewSource = this.sources.recordAnswer(address);
+		const previousVersion = view.configuration?.version;
 		view.apply(update, mustBeNewest);
 		if (sureAfterMs !== undefined && update.configuration.isLast) {
 			access.recordAnswer(askedAt, sureAfterMs);
 		}
 
-		if (view.configuration && view.configuration.version !== before) {
+		if (view.configuration && view.configuration.version !== previousVersion) {
 			onEvent('configuration.in-force', `version ${view.configuration.version}, ${view.configuration.routes.size} routes, from ${address} at revision ${view.revision}`);
 		}
 
-		if (!this.isConnected || isOther) {
+		if (!this.isConnected || hasNewSource) {
 			this.isConnected = true;
 			onEvent('control.regained', `follows ${address} at revision ${view.revision}`);
 		}
--- a/packages/mastvalve-gateway/src/fleet/fleet-view.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-view.ts
@@ -5,10 +5,10 @@
 import {
 	EndpointPhase, takesRequests, type FleetEndpoint, type FleetCursor, type FleetUpdate,
 } from 'mastvalve-fleet';
-import {ConfigurationDraft, type ActiveConfiguration} from './active-configuration.js';
+import {ConfigurationAssembler, type ActiveConfiguration} from './active-configuration.js';
 
 /** Endpoints that take new requests, by service. */
-const groupByService = (endpoints: readonly FleetEndpoint[]): Map<string, FleetEndpoint[]> =>
+const groupAvailableByService = (endpoints: readonly FleetEndpoint[]): Map<string, FleetEndpoint[]> =>
 	endpoints
 		.filter(endpoint => takesRequests(endpoint))
 		.reduce((groups, endpoint) => {
@@ -25,16 +25,16 @@
 	/** Whether the view was the newest at some moment since the start. */
 	isSynced = false;
 	/** How far the changes are known. */
-	place: FleetCursor = {};
+	cursor: FleetCursor = {};
 	/** Whether all endpoints of some moment are known, and not just the first part of them. */
 	hasAllEndpoints = false;
-	private readonly draft = new ConfigurationDraft();
+	private readonly assembler = new ConfigurationAssembler();
 	private readonly endpoints = new Map<string, FleetEndpoint>();
 	/** When this entry learned that a request is quarantined, by fingerprint; monotonic ms. */
-	private readonly quarantined = new Map<string, number>();
-	private byService = new Map<string, FleetEndpoint[]>();
+	private readonly quarantineTimes = new Map<string, number>();
+	private availableByService = new Map<string, FleetEndpoint[]>();
 	/** When loads are expected to end, by endpoint; monotonic ms. */
-	private readonly loadEnds = new Map<string, {model: string; at: number}>();
+	private readonly expectedLoads = new Map<string, {model: string; at: number}>();
 	private readonly listeners = new Set<() => void>();
 
 	constructor(private readonly now: () => number) {}
@@ -44,15 +44,15 @@
 	 * once it has all of one such.
 	 */
 	apply({revision, endpoints, configuration, quarantine}: FleetUpdate, isNewest = false): void {
-		const isNews = [endpoints, configuration, quarantine].some(part => part.isWhole || part.changes.length > 0);
+		const hasChanges = [endpoints, configuration, quarantine].some(part => part.isWhole || part.changes.length > 0);
 		this.revision = revision;
-		this.place = {endpoints: endpoints.cursor, configuration: configuration.cursor, quarantine: quarantine.cursor};
+		this.cursor = {endpoints: endpoints.cursor, configuration: configuration.cursor, quarantine: quarantine.cursor};
 		this.applyEndpoints(endpoints);
 		this.applyQuarantine(quarantine);
-		this.configuration = this.draft.take(configuration) ?? this.configuration;
+		this.configuration = this.assembler.applyPage(configuration) ?? this.configuration;
 		const wasSynced = this.isSynced;
 		this.isSynced ||= isNewest && endpoints.isLast && configuration.isLast && quarantine.isLast;
-		if (isNews || this.isSynced !== wasSynced) {
+		if (hasChanges || this.isSynced !== wasSynced) {
 			[...this.listeners].forEach(listener => {
 				listener();
 			});
@@ -61,36 +61,36 @@
 
 	/** Endpoints of a service that take new requests. */
 	listEndpoints(service: string): FleetEndpoint[] {
-		return this.byService.get(service) ?? [];
+		return this.availableByService.get(service) ?? [];
 	}
 
 	/** When a model is expected at some endpoint of a service; monotonic ms. Undefined when no load is under way. */
-	expectModel(service: string, model: string): number | undefined {
-		const ends = this.listEndpoints(service)
-			.flatMap(({id}) => this.loadEnds.get(id) ?? [])
+	findModelReadyAt(service: string, model: string): number | undefined {
+		const readyTimes = this.listEndpoints(service)
+			.flatMap(({id}) => this.expectedLoads.get(id) ?? [])
 			.filter(load => load.model === model)
 			.map(({at}) => at);
-		return ends.length === 0 ? undefined : Math.min(...ends);
+		return readyTimes.length === 0 ? undefined : Math.min(...readyTimes);
 	}
 
-	find(id: string): FleetEndpoint | undefined {
+	findEndpoint(id: string): FleetEndpoint | undefined {
 		return this.endpoints.get(id);
 	}
 
 	/** Endpoints that are not gone. */
-	knows(id: string): boolean {
+	hasEndpoint(id: string): boolean {
 		return this.endpoints.has(id);
 	}
 
 	/** Whether an endpoint takes new requests as far as control knows. */
-	isInUse(id: string): boolean {
+	isAvailable(id: string): boolean {
 		const endpoint = this.endpoints.get(id);
 		return endpoint !== undefined && takesRequests(endpoint);
 	}
 
 	/** When this entry learned that a request is quarantined; monotonic ms. Undefined when it isn't. */
-	quarantinedAt(fingerprint: string): number | undefined {
-		return this.quarantined.get(fingerprint);
+	findQuarantinedAt(fingerprint: string): number | undefined {
+		return this.quarantineTimes.get(fingerprint);
 	}
 
 	/** Calls back on news until the returned function is called. */
@@ -103,14 +103,14 @@
 
 	private applyQuarantine({isWhole, changes}: FleetUpdate['quarantine']): void {
 		if (isWhole) {
-			this.quarantined.clear();
+			this.quarantineTimes.clear();
 		}
 
 		changes.forEach(({fingerprint, isQuarantined}) => {
 			if (isQuarantined) {
-				this.quarantined.set(fingerprint, this.now());
+				this.quarantineTimes.set(fingerprint, this.now());
 			} else {
-				this.quarantined.delete(fingerprint);
+				this.quarantineTimes.delete(fingerprint);
 			}
 		});
 	}
@@ -119,28 +119,28 @@
 		this.hasAllEndpoints = isLast;
 		if (isWhole) {
 			this.endpoints.clear();
-			this.loadEnds.clear();
+			this.expectedLoads.clear();
 		}
 
 		changes.forEach(endpoint => {
 			if (endpoint.phase === EndpointPhase.Gone) {
 				this.endpoints.delete(endpoint.id);
-				this.loadEnds.delete(endpoint.id);
+				this.expectedLoads.delete(endpoint.id);
 			} else {
 				this.endpoints.set(endpoint.id, endpoint);
-				this.noteLoad(endpoint);
+				this.recordLoad(endpoint);
 			}
 		});
 		if (isWhole || changes.length > 0) {
-			this.byService = groupByService([...this.endpoints.values()]);
+			this.availableByService = groupAvailableByService([...this.endpoints.values()]);
 		}
 	}
 
-	private noteLoad({id, loading}: FleetEndpoint): void {
+	private recordLoad({id, loading}: FleetEndpoint): void {
 		if (!loading) {
-			this.loadEnds.delete(id);
-		} else if (this.loadEnds.get(id)?.model !== loading.model) {
-			this.loadEnds.set(id, {model: loading.model, at: this.now() + loading.expectedMs});
+			this.expectedLoads.delete(id);
+		} else if (this.expectedLoads.get(id)?.model !== loading.model) {
+			this.expectedLoads.set(id, {model: loading.model, at: this.now() + loading.expectedMs});
 		}
 	}
 }
--- a/packages/mastvalve-gateway/src/fleet/source-choice.ts
+++ b/packages/mastvalve-gateway/src/fleet/source-selector.ts
@@ -4,7 +4,7 @@
  */
 
 /** What the choice rests on. */
-export type SourceChoiceOptions = {
+export type SourceSelectorOptions = {
 	/** Lower is nearer. */
 	distanceTo: (address: string) => number;
 	/** Monotonic, ms. */
@@ -15,19 +15,19 @@
  * A nearer instance that has failed is tried again after this, ms. One that says nothing costs 0.8 s without news, so it may
  * not come more often than disturbances do.
  */
-const avoidMs = 10_000;
+const avoidanceMs = 10_000;
 
 /** The choice. */
-export class SourceChoice {
+export class SourceSelector {
 	/** Who answered last; undefined when that one has failed since. */
 	private current: string | undefined;
 	/** Until when instances that have failed are avoided, ms. */
 	private readonly avoidedUntil = new Map<string, number>();
 
-	constructor(private readonly options: SourceChoiceOptions) {}
+	constructor(private readonly options: SourceSelectorOptions) {}
 
 	/** Whom to ask next; undefined when nobody is known to answer. */
-	choose(members: readonly string[]): string | undefined {
+	select(members: readonly string[]): string | undefined {
 		const {current} = this;
 		if (current === undefined) {
 			return undefined;
@@ -40,15 +40,15 @@
 
 	/** An instance answered; whether it is another one than before. */
 	recordAnswer(address: string): boolean {
-		const isOther = this.current !== address;
+		const isNew = this.current !== address;
 		this.current = address;
 		this.avoidedUntil.delete(address);
-		return isOther;
+		return isNew;
 	}
 
 	/** An instance failed; whether that leaves nobody who is known to answer. */
 	recordFailure(address: string): boolean {
-		this.avoidedUntil.set(address, this.options.now() + avoidMs);
+		this.avoidedUntil.set(address, this.options.now() + avoidanceMs);
 		const isLost = this.current === undefined || this.current === address;
 		this.current = isLost ? undefined : this.current;
 		return isLost;
--- a/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
+++ b/packages/mastvalve-gateway/src/limits/endpoint-limiter.ts
@@ -13,8 +13,8 @@
 import type {LimitClient} from './limit-client.js';
 
 export type EndpointLimiterOptions = {
-	view: Pick<FleetView, 'find'>;
-	board: EndpointTracker;
+	view: Pick<FleetView, 'findEndpoint'>;
+	tracker: EndpointTracker;
 	client: LimitClient;
 	/** Monotonic clock, ms. */
 	now: () => number;
@@ -70,7 +70,7 @@
 		if (outcome.endpoint === undefined) {
 			const at = this.options.now() + outcome.waitMs;
 			endpoints.forEach(({id}) => {
-				this.options.board.recordNextPermit(id, at);
+				this.options.tracker.recordNextPermit(id, at);
 			});
 		}
 
@@ -104,7 +104,7 @@
 	/** Records a limit that this entry received itself; true when neither control nor this entry knew it. */
 	private recordReceivedLimit({id, limitPerSecond}: FleetEndpoint, perSecond: number): boolean {
 		const now = this.options.now();
-		const known = this.options.view.find(id)?.limitPerSecond ?? limitPerSecond;
+		const known = this.options.view.findEndpoint(id)?.limitPerSecond ?? limitPerSecond;
 		const received = this.receivedLimits.get(id);
 		const isRecorded = received?.perSecond === perSecond && this.isValid(received);
 		[...this.receivedLimits].filter(([, each]) => !this.isValid(each)).forEach(([other]) => {
--- a/packages/mastvalve-gateway/src/quarantine/crash-reporter.ts
+++ b/packages/mastvalve-gateway/src/quarantine/crash-reporter.ts
@@ -16,58 +16,58 @@
 /** Longest time without a byte, ms. */
 const silenceMs = 500;
 /** Pause before the next control instance is tried, ms. */
-const retryPauseMs = 100;
+const retryDelayMs = 100;
 /** Time after which a reporter without reports looks again by itself, ms. */
-const idleMs = 60_000;
+const idleTimeoutMs = 60_000;
 /** Reports that wait while control is away; the oldest give way. */
-const maxWaiting = 1000;
+const maxPending = 1000;
 
 /** The reporter. */
 export class CrashReporter {
-	private waiting: CrashReport[] = [];
-	private wake = new AbortController();
+	private pending: CrashReport[] = [];
+	private idleController = new AbortController();
 
 	constructor(private readonly options: CrashReporterOptions) {}
 
 	/** Reports a crash. */
-	add(report: CrashReport): void {
-		this.waiting = [...this.waiting, report].slice(-maxWaiting);
-		this.wake.abort();
+	enqueue(report: CrashReport): void {
+		this.pending = [...this.pending, report].slice(-maxPending);
+		this.idleController.abort();
 	}
 
 	/** Reports until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		let tries = 0;
+		let failures = 0;
 		while (!signal.aborted) {
-			if (this.waiting.length === 0) {
-				this.wake = new AbortController();
+			if (this.pending.length === 0) {
+				this.idleController = new AbortController();
 				// eslint-disable-next-line no-await-in-loop
-				await waitFor(idleMs, AbortSignal.any([this.wake.signal, signal]));
+				await waitFor(idleTimeoutMs, AbortSignal.any([this.idleController.signal, signal]));
 			} else {
 				// One report after the other.
 				// eslint-disable-next-line no-await-in-loop
-				tries = await this.report(tries, signal) ? 0 : tries + 1;
+				failures = await this.report(failures, signal) ? 0 : failures + 1;
 			}
 		}
 	}
 
 	/** Tells all that waits to one control instance; whether it has it. */
-	private async report(tries: number, signal: AbortSignal): Promise<boolean> {
+	private async report(failures: number, signal: AbortSignal): Promise<boolean> {
 		const {client, listTargets} = this.options;
 		const targets = listTargets();
-		const address = targets[tries % Math.max(1, targets.length)];
-		const reports = this.waiting;
+		const address = targets[failures % Math.max(1, targets.length)];
+		const reports = this.pending;
 		const answer = address === undefined
 			? undefined
 			: await client.call({
 				address, path: '/crashes', body: reports, idleTimeoutMs: silenceMs, signal,
 			});
 		if (answer?.isOk()) {
-			this.waiting = this.waiting.filter(report => !reports.includes(report));
+			this.pending = this.pending.filter(report => !reports.includes(report));
 			return true;
 		}
 
-		await waitFor(retryPauseMs, signal);
+		await waitFor(retryDelayMs, signal);
 		return false;
 	}
 }
--- a/packages/mastvalve-gateway/src/requests/fail-request.ts
+++ b/packages/mastvalve-gateway/src/requests/fail-request.ts
@@ -47,7 +47,7 @@
  * all requests that run there. Returns true when it was rejected.
  */
 export const rejectQuarantined = (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress): boolean => {
-	const remainingMs = core.quarantine.remainingMs(request.fingerprint);
+	const remainingMs = core.quarantine.findRemainingMs(request.fingerprint);
 	if (remainingMs === undefined) {
 		return false;
 	}
--- a/packages/mastvalve-gateway/src/requests/handle-answer.ts
+++ b/packages/mastvalve-gateway/src/requests/handle-answer.ts
@@ -100,7 +100,7 @@
 	const isComplete = await relayBody(res, reply, progress.streamPosition, isBroken);
 	if (isComplete) {
 		if (status === okStatus) {
-			core.quarantine.recordAnswered(request.fingerprint);
+			core.quarantine.recordSuccess(request.fingerprint);
 		}
 
 		logAnswer(core, request, progress, {
@@ -116,7 +116,7 @@
 	}
 
 	progress.streamPosition?.dropPartialEvent();
-	core.crashDetector.suspect(endpoint, request.fingerprint);
+	core.crashDetector.recordBrokenConnection(endpoint, request.fingerprint);
 	core.tracker.recordFailure(endpoint.id);
 	core.log('answer.broken', {
 		request: request.requestId, fingerprint: request.fingerprint, endpoint: endpoint.id, status, lastEvent: progress.streamPosition?.lastEventId,
--- a/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/prepare-attempt.ts
@@ -66,7 +66,7 @@
 	}
 
 	// The key may have been revoked in the seconds since arrival. Connecting takes up to 0.4 s more, which the margin on the age of key data covers.
-	const access = core.access.judge(request.admission.key, request.route);
+	const access = core.access.authorize(request.admission.key, request.route);
 	if (!isGranted(access)) {
 		rejectKey(core, request, reply, progress, access.kind);
 		return undefined;
--- a/packages/mastvalve-gateway/src/requests/serve-request.ts
+++ b/packages/mastvalve-gateway/src/requests/serve-request.ts
@@ -70,7 +70,7 @@
 	}
 
 	if (outcome.kind === ExchangeKind.Lost) {
-		core.crashDetector.suspect(endpoint, request.fingerprint);
+		core.crashDetector.recordBrokenConnection(endpoint, request.fingerprint);
 	}
 
 	core.tracker.recordFailure(endpoint.id);
--- a/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
+++ b/packages/mastvalve-gateway/src/requests/wait-for-endpoint.ts
@@ -30,7 +30,7 @@
 
 /** Whether a load in progress is expected to end before the caller gives up; undefined when there is none. */
 const isLoadExpectedInTime = (core: GatewayCore, request: CallerRequest, model: string): boolean | undefined => {
-	const at = core.view.expectModel(request.service, model);
+	const at = core.view.findModelReadyAt(request.service, model);
 	return at === undefined ? undefined : at + forecastMarginMs < computeWaitDeadline(request) && core.clock.now() < at + maxOverdueMs;
 };
 
@@ -69,7 +69,7 @@
 
 const createModelRefusal = (core: GatewayCore, request: CallerRequest, model: string): NoEndpoint => {
 	const now = core.clock.now();
-	const expectedMs = (core.view.expectModel(request.service, model) ?? now + unknownModelRetryAfterMs) - now;
+	const expectedMs = (core.view.findModelReadyAt(request.service, model) ?? now + unknownModelRetryAfterMs) - now;
 	const third = (request.callerDeadlineAt - now) / 3;
 	return {reason: `no endpoint holds ${model} in time`, retryAfterMs: Math.max(50, Math.min(expectedMs, third))};
 };
@@ -125,7 +125,7 @@
 			if (!isHeld) {
 				isHeld = true;
 				core.log('request.held', {
-					request: request.requestId, model, adapter, expectedAt: core.view.expectModel(request.service, model),
+					request: request.requestId, model, adapter, expectedAt: core.view.findModelReadyAt(request.service, model),
 				});
 			}
 
@@ -134,7 +134,7 @@
 		};
 
 		const unsubscribe = core.view.subscribe(() => {
-			if (core.quarantine.remainingMs(request.fingerprint) !== undefined) {
+			if (core.quarantine.findRemainingMs(request.fingerprint) !== undefined) {
 				stopWaiting();
 				return;
 			}
--- a/packages/mastvalve-gateway/src/routing/endpoint-tracker.ts
+++ b/packages/mastvalve-gateway/src/routing/endpoint-tracker.ts
@@ -62,8 +62,8 @@
 export type EndpointRequest = {
 	/** Records that the prefill is done. */
 	recordFirstByte: () => void;
-	/** Records the head of the response; `isTaken` is whether the endpoint accepted the request. */
-	recordResponse: (isTaken: boolean) => void;
+	/** Records the head of the response; `isAccepted` is whether the endpoint accepted the request. */
+	recordResponse: (isAccepted: boolean) => void;
 	end: () => void;
 };
 
@@ -108,8 +108,8 @@
 			}
 		};
 
-		const recordResponse = (isTaken: boolean): void => {
-			notifyIf(backoffUse.recordAnswer(isTaken));
+		const recordResponse = (isAccepted: boolean): void => {
+			notifyIf(backoffUse.recordAnswer(isAccepted));
 		};
 
 		return {
--- a/packages/mastvalve-gateway/src/routing/forget-gone-endpoints.ts
+++ b/packages/mastvalve-gateway/src/routing/forget-gone-endpoints.ts
@@ -10,8 +10,8 @@
 export const forgetGoneEndpoints = (view: FleetView, tracker: EndpointTracker, demand: ModelDemand): void => {
 	view.subscribe(() => {
 		if (view.hasAllEndpoints) {
-			tracker.retainOnly(id => view.knows(id));
-			demand.retainLeaving(id => view.isInUse(id));
+			tracker.retainOnly(id => view.hasEndpoint(id));
+			demand.retainLeaving(id => view.isAvailable(id));
 		}
 	});
 };
--- a/packages/mastvalve-gateway/src/routing/model-demand.ts
+++ b/packages/mastvalve-gateway/src/routing/model-demand.ts
@@ -19,7 +19,7 @@
 	private leaving = new Set<string>();
 	private readonly waiting = new Map<string, Waiting>();
 
-	constructor(private readonly entry: string, private readonly now: () => number, private readonly onReportDue: () => void, private readonly headTimes: FirstByteTimes) {}
+	constructor(private readonly entry: string, private readonly now: () => number, private readonly onReportDue: () => void, private readonly firstByteTimes: FirstByteTimes) {}
 
 	/** Counts a request; `canWaitForLoad` is false when its deadline doesn't allow for loading a model. */
 	recordRequest(model: string, adapter: string | undefined, canWaitForLoad: boolean): void {
@@ -89,7 +89,7 @@
 			entry: this.entry,
 			requests,
 			urgent,
-			headMs: this.headTimes.list(),
+			headMs: this.firstByteTimes.list(),
 			suspects: [...suspects],
 			absent: [...notListening],
 			leaving: [...this.leaving],
--- a/packages/mastvalve-gateway/src/routing/service-retry-budget.ts
+++ b/packages/mastvalve-gateway/src/routing/service-retry-budget.ts
@@ -19,7 +19,7 @@
 	private readonly services = new Map<string, RequestTimes>();
 
 	/** `readEntries` returns the number of entries that share the slack; undefined until control has reported it. */
-	constructor(private readonly bounds: RetryLimits, private readonly now: () => number, private readonly readEntries: () => number | undefined) {}
+	constructor(private readonly limits: RetryLimits, private readonly now: () => number, private readonly readEntries: () => number | undefined) {}
 
 	/** Counts a first attempt. */
 	recordRequest(service: string): void {
@@ -28,7 +28,7 @@
 
 	/** Consumes a retry; returns false when the budget is exhausted. */
 	takeRetry(service: string): boolean {
-		const {ratio, slack} = this.bounds;
+		const {ratio, slack} = this.limits;
 		// A fixed slack per entry would exceed the total slack once there are many entries.
 		const ownSlack = slack / (this.readEntries() ?? Number.POSITIVE_INFINITY);
 		const times = this.getTimes(service);
@@ -41,7 +41,7 @@
 	}
 
 	private getTimes(service: string): RequestTimes {
-		const from = this.now() - this.bounds.windowMs;
+		const from = this.now() - this.limits.windowMs;
 		const times = this.services.get(service) ?? {first: [], retries: []};
 		this.services.set(service, times);
 		removeBefore(times.first, from);
--- a/packages/mastvalve-gateway/src/server/gateway-core.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-core.ts
@@ -8,7 +8,7 @@
 import type {LimitClient} from '../limits/limit-client.js';
 import type {Dialect} from '../dialect.js';
 import type {FleetView} from '../fleet/fleet-view.js';
-import type {CrashWatch} from '../quarantine/crash-watch.js';
+import type {CrashDetector} from '../quarantine/crash-detector.js';
 import type {RequestQuarantine} from '../quarantine/request-quarantine.js';
 import type {CapacityWaiters} from '../requests/capacity-waiters.js';
 import type {EndpointTracker} from '../routing/endpoint-tracker.js';
@@ -38,7 +38,7 @@
 	firstByteTimes: FirstByteTimes;
 	demand: ModelDemand;
 	quarantine: RequestQuarantine;
-	crashDetector: CrashWatch;
+	crashDetector: CrashDetector;
 	log: LogDecision;
 	observer: GatewayObserver;
 	/** Whether this entry is shutting down. */
--- a/packages/mastvalve-gateway/src/server/gateway-node.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-node.ts
@@ -14,7 +14,7 @@
 import {EndpointLimiter} from '../limits/endpoint-limiter.js';
 import {LimitClient} from '../limits/limit-client.js';
 import {CrashReporter} from '../quarantine/crash-reporter.js';
-import {CrashWatch} from '../quarantine/crash-watch.js';
+import {CrashDetector} from '../quarantine/crash-detector.js';
 import {probeListener} from '../quarantine/probe-listener.js';
 import {RequestQuarantine} from '../quarantine/request-quarantine.js';
 import {CapacityWaiters} from '../requests/capacity-waiters.js';
@@ -75,7 +75,7 @@
 			keyRevocationMs,
 			onSuspended: () => {
 				onEvent('keys.doubted', 'the monotonic clock has missed elapsed time, or the wall clock was set: requesting fresh key evidence from control');
-				this.follower.hurry();
+				this.follower.restartRequest();
 			},
 		});
 		this.follower = new FleetFollower({
@@ -86,14 +86,14 @@
 			distanceTo,
 			now,
 			onEvent,
-			onLeader() {
+			onLeaderChange() {
 				limits.informNewLeader();
 			},
 		});
 		this.reporter = new DemandReporter(client, () => this.follower.leader);
 		const firstByteTimes = new FirstByteTimes();
 		this.demand = new ModelDemand(instance, now, () => {
-			this.reporter.hurry();
+			this.reporter.reportNow();
 		}, firstByteTimes);
 		this.crashReporter = new CrashReporter({client, listTargets: () => this.listControl()});
 		const quarantine = new RequestQuarantine(this.view, now);
@@ -105,7 +105,7 @@
 		const limits = new LimitClient({
 			// The random suffix separates the claim history of this process from that of an earlier one.
 			entry: `${instance} ${random()}`,
-			client, readLeader: () => this.follower.leader, readEntryCount: () => this.reporter.entries, random, now, windowMs: limitWindowMs, signal: this.shutdown.signal, wait: waitFor, onEvent,
+			client, readLeader: () => this.follower.leader, readEntryCount: () => this.reporter.entryCount, random, now, windowMs: limitWindowMs, signal: this.shutdown.signal, wait: waitFor, onEvent,
 		});
 		this.gateway = new Gateway({
 			failureDomain,
@@ -119,9 +119,9 @@
 			access: this.access,
 			limits,
 			limiter: new EndpointLimiter({
-				view: this.view, board: tracker, client: limits, now,
+				view: this.view, tracker, client: limits, now,
 			}),
-			retryBudget: new ServiceRetryBudget(retries, now, () => this.reporter.entries),
+			retryBudget: new ServiceRetryBudget(retries, now, () => this.reporter.entryCount),
 			firstByteTimes,
 			demand: this.demand,
 			quarantine,
@@ -132,7 +132,7 @@
 
 	/** Whether load balancers may route callers to this entry. */
 	get isReady(): boolean {
-		return this.view.isSynced && this.access.canJudge && this.view.configuration !== undefined && !this.gateway.isDraining;
+		return this.view.isSynced && this.access.canAuthorize && this.view.configuration !== undefined && !this.gateway.isDraining;
 	}
 
 	/** Number of callers' requests in flight. */
@@ -170,22 +170,22 @@
 		return [...new Set([...(leader === undefined ? [] : [leader]), ...this.follower.listMembers()])];
 	}
 
-	private createCrashWatch(quarantine: RequestQuarantine, tracker: EndpointTracker, now: () => number, log: LogDecision): CrashWatch {
-		const watch = new CrashWatch({
+	private createCrashWatch(quarantine: RequestQuarantine, tracker: EndpointTracker, now: () => number, log: LogDecision): CrashDetector {
+		const watch = new CrashDetector({
 			now,
 			probe: probeListener,
-			isAlive: id => !this.view.hasAllEndpoints || this.view.knows(id),
-			isHarmless: fingerprint => quarantine.isHarmless(fingerprint),
+			isAlive: id => !this.view.hasAllEndpoints || this.view.hasEndpoint(id),
+			hasSucceededRecently: fingerprint => quarantine.hasSucceededRecently(fingerprint),
 			onCrash: report => {
 				log('endpoint.crashed', {endpoint: report.endpointId, fingerprints: report.fingerprints});
 				quarantine.recordCrash(report);
-				this.crashReporter.add(report);
+				this.crashReporter.enqueue(report);
 				tracker.recordNotListening(report.endpointId);
 				this.demand.recordNotListening(report.endpointId);
 			},
 		});
 		this.view.subscribe(() => {
-			watch.review();
+			watch.reviewUndecided();
 		});
 		return watch;
 	}
--- a/packages/mastvalve-gateway/src/server/wait-for-control.ts
+++ b/packages/mastvalve-gateway/src/server/wait-for-control.ts
@@ -4,7 +4,7 @@
 
 import type {IncomingMessage} from 'node:http';
 import {waitFor} from 'mastvalve-utils';
-import {evidenceWaitMs} from '../access/access-checker.js';
+import {renewalWaitMs} from '../access/access-checker.js';
 import type {GatewayCore} from './gateway-core.js';
 
 /** Longest wait for the initial configuration, ms: control elects a leader within 1.5 s after all its instances were killed. */
@@ -39,8 +39,8 @@
 
 /** Waits for fresh key evidence after a suspension: the next response of control, which is requested at once, states the valid keys. */
 export const waitForEvidence = async ({access, clock}: GatewayCore, signal: AbortSignal): Promise<void> => {
-	const endAt = clock.now() + evidenceWaitMs;
-	while (access.isAwaiting && clock.now() < endAt && !signal.aborted) {
+	const endAt = clock.now() + renewalWaitMs;
+	while (access.isAwaitingRenewal && clock.now() < endAt && !signal.aborted) {
 		// eslint-disable-next-line no-await-in-loop
 		await waitFor(evidencePollMs, signal);
 	}
