--- a/packages/mastvalve-cluster/__tests__/catching-up.steps.ts
+++ b/packages/mastvalve-cluster/__tests__/catching-up.steps.ts
@@ -9,7 +9,7 @@
 import {
 	defaultReplicaRules, Replica, Role, type Message,
 } from 'mastvalve-replication';
-import {keepNewest, takeBody} from '../src/peer/log-transport.js';
+import {keepNewest, takeBatch} from '../src/peer/log-transport.js';
 
 type CatchUpWorld = World & {replicas: Map<string, Replica>; now: number; links: Map<string, Message[]>; bodies: number[]; changeBytes: number; changes: number};
 
@@ -37,7 +37,7 @@
 	});
 	collect(world);
 	[...world.links].filter(([link]) => !isCut || !link.includes(cutId)).forEach(([link, messages]) => {
-		const body = takeBody(messages);
+		const body = takeBatch(messages);
 		world.links.set(link, messages.slice(body.length));
 		if (messages.length > 0 && link === `${leaderId}>${cutId}`) {
 			world.bodies.push(JSON.stringify(body).length);
--- a/packages/mastvalve-cluster/src/index.ts
+++ b/packages/mastvalve-cluster/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * A group of control instances that forms from a few seeds, and the calls between mastvalve's own processes.
+ * Forms a group of control instances from a few seeds, and carries calls between the processes of mastvalve.
  */
 
 export * from './membership/control-directory.js';
--- a/packages/mastvalve-cluster/src/membership/control-directory.ts
+++ b/packages/mastvalve-cluster/src/membership/control-directory.ts
@@ -1,9 +1,9 @@
 /**
- * What an instance without a log contributes: it may be a seed, so it tells others where the log is kept, and finds that
- * out for itself.
+ * Discovers the control instances on behalf of an instance without a log. Such an instance may be a seed, so it reports
+ * the control instances to its peers.
  *
- * At the very first start it also names who begins the log, in case that no seed keeps one. It names one instance in its
- * life and none after a restart, so two logs never begin.
+ * At the first start of the system it also names the founder, which creates the log if no seed has a replica. It names one
+ * founder in its lifetime and none after a restart, so two logs are never created.
  */
 
 import {getInstanceName, type ReplicaId} from 'mastvalve-replication';
@@ -15,59 +15,56 @@
 import type {PeerHandler} from '../peer/peer-server.js';
 import {Announcements, type Announcement} from './announcements.js';
 import type {Identity} from './identity.js';
-import {PeerSearch} from './peer-search.js';
+import {PeerDiscovery} from './peer-discovery.js';
 
-/** What a directory is made from. */
 export type ControlDirectoryOptions = {
-	/** Where others reach this instance, `ip:port`. */
+	/** Address for calls from other instances, `ip:port`. */
 	address: string;
 	isFirstStart: boolean;
 	readSeeds: () => string[];
 	client: PeerClient;
 	clock: Clock;
-	/** Addresses of control instances that are known otherwise; while there are any, nobody is asked. */
+	/** Returns addresses of control instances from another source; discovery is skipped while there are any. */
 	listKnownAddresses: () => string[];
 	onError: (message: string) => void;
 };
 
-/** Pause between two rounds of asking while no control instance is known, ms. */
-const askPauseMs = 100;
+/** Pause between two discovery rounds while no control instance is known, ms. */
+const discoveryIntervalMs = 100;
 
-/** The directory. */
 export class ControlDirectory {
-	private readonly search: PeerSearch;
+	private readonly discovery: PeerDiscovery;
 	private readonly announcements: Announcements;
 	private founder: ReplicaId | undefined;
-	/** Those that said of themselves that they keep the log. */
-	private keepers: string[] = [];
+	/** Addresses of the instances that reported a replica of the log. */
+	private discoveredAddresses: string[] = [];
 
 	constructor(private readonly options: ControlDirectoryOptions) {
 		const now = (): number => options.clock.now();
-		this.search = new PeerSearch({...options, now});
+		this.discovery = new PeerDiscovery({...options, now});
 		this.announcements = new Announcements(now);
 	}
 
-	/** Addresses of control instances. */
 	listControlAddresses(): string[] {
 		const known = this.options.listKnownAddresses();
-		return known.length > 0 ? known : this.keepers;
+		return known.length > 0 ? known : this.discoveredAddresses;
 	}
 
-	/** Calls of other instances. */
+	/** Returns the handlers for calls from other instances, by path. */
 	handlers(): Array<[string, PeerHandler]> {
 		return [
 			['/identify', async () => ok(this.identify())],
 			['/announce', async body => {
-				this.hear(assumeType<Announcement>(body));
+				this.recordAnnouncement(assumeType<Announcement>(body));
 				return ok(true);
 			}],
 		];
 	}
 
-	/** Keeps looking for control instances until the signal aborts. */
+	/** Discovers control instances until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		await repeatUntilAborted(signal, askPauseMs, async () => this.look(), thrown => {
-			this.options.onError(`a search for control instances failed: ${describeError(thrown)}`);
+		await repeatUntilAborted(signal, discoveryIntervalMs, async () => this.discover(), thrown => {
+			this.options.onError(`discovery of control instances failed: ${describeError(thrown)}`);
 		});
 	}
 
@@ -83,20 +80,20 @@
 		};
 	}
 
-	private hear(announcement: Announcement): void {
-		this.announcements.hear(announcement);
+	private recordAnnouncement(announcement: Announcement): void {
+		this.announcements.record(announcement);
 		if (this.options.isFirstStart && announcement.mayBegin) {
 			this.founder ??= announcement.id;
 		}
 	}
 
-	private async look(): Promise<void> {
+	private async discover(): Promise<void> {
 		if (this.options.listKnownAddresses().length > 0) {
 			return;
 		}
 
-		this.search.learn(this.announcements.listAddresses());
-		const answers = await this.search.ask();
-		this.keepers = answers.filter(({clusterId}) => clusterId !== undefined).flatMap(({replicaId}) => (replicaId === undefined ? [] : [getInstanceName(replicaId)]));
+		this.discovery.addPeers(this.announcements.listAddresses());
+		const answers = await this.discovery.identifyPeers();
+		this.discoveredAddresses = answers.filter(({clusterId}) => clusterId !== undefined).flatMap(({replicaId}) => (replicaId === undefined ? [] : [getInstanceName(replicaId)]));
 	}
 }
--- a/packages/mastvalve-cluster/src/membership/control-group.ts
+++ b/packages/mastvalve-cluster/src/membership/control-group.ts
@@ -1,6 +1,6 @@
 /**
- * One control instance as a member of its group: finds or begins the replicated log, keeps a place in it, and lets
- * the program propose and read wherever the leader is.
+ * A control instance as a member of its group: joins or creates the replicated log, maintains its membership, and forwards
+ * proposals and reads to the leader.
  */
 
 import {randomBytes} from 'node:crypto';
@@ -20,24 +20,23 @@
 import {Announcements, type Announcement} from './announcements.js';
 import {decideFormation} from './formation.js';
 import type {Identity} from './identity.js';
-import {LeaderAccess} from './leader-access.js';
-import {MembershipDuty} from './membership-duty.js';
-import {PeerSearch} from './peer-search.js';
+import {LeaderProxy} from './leader-proxy.js';
+import {MembershipManager} from './membership-manager.js';
+import {PeerDiscovery} from './peer-discovery.js';
 import {startLogNode} from './start-log-node.js';
 
 const diskIdBytes = 6;
-const tickMs = 20;
-const formationPauseMs = 60;
-const announcePauseMs = 150;
-const membershipPauseMs = 80;
-/** An instance that heard no leader for this long can't tell whether what it holds is the newest, ms. Half of the shortest bound for configurations. */
+const tickIntervalMs = 20;
+const formationRetryMs = 60;
+const announceIntervalMs = 150;
+const membershipIntervalMs = 80;
+/** The state of an instance that has received nothing from a leader for this long counts as stale, ms: half of the shortest bound for configurations. */
 export const staleAfterMs = 1000;
 
-/** A member of the group. */
 export class ControlGroup {
 	static async open(options: ControlGroupOptions): Promise<ControlGroup> {
-		const files = createFileSystem(options.dataFolder);
-		const journal = await Journal.open(files, options.address) ?? await Journal.create(files, {
+		const fileSystem = createFileSystem(options.dataFolder);
+		const journal = await Journal.open(fileSystem, options.address) ?? await Journal.create(fileSystem, {
 			format: journalFormat,
 			replica: options.address,
 			disk: randomBytes(diskIdBytes).toString('hex'),
@@ -50,45 +49,44 @@
 
 	private readonly transport: LogTransport;
 	private readonly announcements: Announcements;
-	private readonly search: PeerSearch;
-	private readonly leader: LeaderAccess;
-	private readonly ending = new AbortController();
+	private readonly discovery: PeerDiscovery;
+	private readonly leaderProxy: LeaderProxy;
+	private readonly shutdown = new AbortController();
 	private node: LogNode | undefined;
 
 	private constructor(private readonly options: ControlGroupOptions, private readonly journal: Journal) {
 		const now = (): number => options.clock.now();
 		this.transport = new LogTransport(options.client);
 		this.announcements = new Announcements(now);
-		this.search = new PeerSearch({...options, now});
-		this.leader = new LeaderAccess({...options, readNode: () => this.node});
+		this.discovery = new PeerDiscovery({...options, now});
+		this.leaderProxy = new LeaderProxy({...options, readNode: () => this.node});
 	}
 
 	get ownId(): ReplicaId {
 		return formatReplicaId(this.journal.header.replica, this.journal.header.disk);
 	}
 
-	/** Address of the leader, as far as it is known. */
+	/** Address of the leader, if known. */
 	get leaderAddress(): string | undefined {
 		return this.node?.leaderName;
 	}
 
-	/** Addresses of all members. */
+	/** Addresses of voters and learners. */
 	get memberAddresses(): string[] {
 		const membership = this.node?.replica.currentMembership;
 		return membership ? [...new Set([...membership.voters, ...membership.learners].map(getInstanceName))] : [];
 	}
 
-	/** Identities that make up quorums. */
 	get voters(): ReplicaId[] {
 		return this.node?.replica.currentMembership.voters ?? [];
 	}
 
-	/** Whether this one leads with a valid lease, and all that is committed is applied. */
+	/** Whether this instance leads with a valid lease and has applied all committed entries. */
 	get isLeading(): boolean {
 		return this.node?.hasLinearizableState() ?? false;
 	}
 
-	/** The term in which this one leads with a valid lease, whether or not it has applied all; undefined when it doesn't. */
+	/** The term in which this instance leads with a valid lease, even if it has not applied all committed entries; otherwise undefined. */
 	get leadingTerm(): number | undefined {
 		return this.node?.hasReadLease() ? this.node.replica.term : undefined;
 	}
@@ -97,19 +95,19 @@
 		return this.node?.replica.term ?? 0;
 	}
 
-	/** Entries of the log in memory. */
+	/** Number of log entries in memory. */
 	get logLength(): number {
 		return this.node?.replica.logLength ?? 0;
 	}
 
-	/** Whether as many voters hold the log as are wanted. */
+	/** Whether the group has its target number of voters. */
 	get hasAllVoters(): boolean {
 		return this.voters.length >= this.options.voterCount;
 	}
 
 	/**
-	 * Whether what is applied here is at most `staleAfterMs` old. What is committed and still being written doesn't make it
-	 * old: followers that are refused during a write go to instances in other failure domains, all at once.
+	 * Whether the applied state is at most `staleAfterMs` old. Committed entries whose write is in flight don't make it stale:
+	 * followers that are refused during a write would all switch to instances in other failure domains at the same time.
 	 */
 	get isCurrent(): boolean {
 		const now = this.options.clock.now();
@@ -117,7 +115,7 @@
 		return heardAt !== undefined && now - heardAt < staleAfterMs;
 	}
 
-	/** How current this instance is, in words, for whoever was refused because it isn't. */
+	/** Describes how current the state is, for the message to a caller that is refused because it is stale. */
 	describeFreshness(): string {
 		const {clock} = this.options;
 		const now = clock.now();
@@ -126,7 +124,7 @@
 		return `${heard}, applied ${this.node?.appliedIndex ?? 0} of ${this.node?.replica.commitIndex ?? 0} committed entries`;
 	}
 
-	/** Calls of the other members and of followers. */
+	/** Returns the handlers for calls from other members and from followers, by path. */
 	handlers(): Array<[string, PeerHandler]> {
 		return [
 			['/identify', async () => ok(this.identify())],
@@ -137,17 +135,17 @@
 				return ok(true);
 			}],
 			['/announce', async body => {
-				this.announcements.hear(assumeType<Announcement>(body));
+				this.announcements.record(assumeType<Announcement>(body));
 				return ok(true);
 			}],
-			...this.leader.handlers(),
+			...this.leaderProxy.handlers(),
 		];
 	}
 
-	/** Takes part until it is stopped. */
+	/** Joins or creates the log, and participates in it until `stop` is called. */
 	async run(): Promise<void> {
-		const {signal} = this.ending;
-		await this.form();
+		const {signal} = this.shutdown;
+		await this.joinOrFormCluster();
 		if (signal.aborted) {
 			return;
 		}
@@ -156,21 +154,21 @@
 			id: this.ownId, journal: this.journal, transport: this.transport, signal,
 		});
 		this.node = node;
-		const duty = this.createDuty(node);
-		callUntilAborted(signal, tickMs, () => {
+		const membershipManager = this.createMembershipManager(node);
+		callUntilAborted(signal, tickIntervalMs, () => {
 			node.tick();
 		});
 		const onError = (thrown: unknown) => {
-			this.options.onError(`a round of membership failed: ${describeError(thrown)}`);
+			this.options.onError(`membership maintenance failed: ${describeError(thrown)}`);
 		};
 
 		await Promise.all([
-			repeatUntilAborted(signal, announcePauseMs, async () => duty.announce(), onError),
-			repeatUntilAborted(signal, membershipPauseMs, async () => duty.changeMembership(), onError),
+			repeatUntilAborted(signal, announceIntervalMs, async () => membershipManager.announce(), onError),
+			repeatUntilAborted(signal, membershipIntervalMs, async () => membershipManager.changeMembership(), onError),
 		]);
 	}
 
-	/** Hands leadership over, so that a planned stop costs no election. */
+	/** Transfers leadership to another voter, so that a planned stop causes no election. */
 	async transferLeadership(): Promise<void> {
 		if (this.isLeading) {
 			this.node?.transferLeadership();
@@ -179,24 +177,24 @@
 	}
 
 	async stop(): Promise<void> {
-		this.ending.abort();
+		this.shutdown.abort();
 		await this.node?.stop();
 		await this.journal.close();
 	}
 
-	/** Proposes a command at the leader, wherever that is, and gives its result. */
+	/** Proposes a command at the leader and returns its result. */
 	async propose(command: unknown): Promise<Result<unknown, MastvalveError>> {
-		return this.leader.propose(command);
+		return this.leaderProxy.propose(command);
 	}
 
-	/** Waits until all is applied here that was committed anywhere when it was called. */
+	/** Waits until every entry that was committed at the time of the call is applied locally. */
 	async waitUntilFresh(): Promise<Result<true, MastvalveError>> {
-		return this.leader.readFresh();
+		return this.leaderProxy.waitUntilFresh();
 	}
 
-	/** Calls the leader; fails at once when none is known. */
+	/** Calls the leader; fails immediately if none is known. */
 	async callLeader<T>(path: string, body: unknown): Promise<Result<T, MastvalveError>> {
-		return this.leader.call<T>(path, body);
+		return this.leaderProxy.call<T>(path, body);
 	}
 
 	private identify(): Identity {
@@ -216,35 +214,42 @@
 		return this.journal.header.mayBegin ?? false;
 	}
 
-	/** Asks everyone who may know the group. */
-	private async askOthers(): Promise<Identity[]> {
-		this.search.learn([...this.memberAddresses, ...this.announcements.listAddresses()]);
-		return this.search.ask();
+	private async identifyPeers(): Promise<Identity[]> {
+		this.discovery.addPeers([...this.memberAddresses, ...this.announcements.listAddresses()]);
+		return this.discovery.identifyPeers();
 	}
 
-	/** Waits until the instance belongs to a replicated log. */
-	private async form(): Promise<void> {
-		const {signal} = this.ending;
+	/** Retries until the instance belongs to a replicated log. */
+	private async joinOrFormCluster(): Promise<void> {
+		const {signal} = this.shutdown;
 		while (this.journal.header.clusterId === undefined && !signal.aborted) {
-			// Each round rests on fresh answers.
+			// Each attempt needs current answers.
 			// eslint-disable-next-line no-await-in-loop
-			const answers = await this.askOthers();
+			const answers = await this.identifyPeers();
 			const formation = decideFormation(this.identify(), this.options.readSeeds(), answers);
 			if (formation) {
 				// eslint-disable-next-line no-await-in-loop
 				await this.journal.recordCluster(formation.clusterId, formation.initialVoters);
-				this.options.onEvent('log.formed', `cluster ${formation.clusterId} as ${this.ownId}, beginning with ${formation.initialVoters.join(', ')}`);
+				this.options.onEvent('log.formed', `cluster ${formation.clusterId} as ${this.ownId}, initial voters ${formation.initialVoters.join(', ')}`);
 			} else {
 				// eslint-disable-next-line no-await-in-loop
-				await Promise.all([this.search.announce({id: this.ownId, mayBegin: this.mayBegin}), waitFor(formationPauseMs, signal)]);
+				await Promise.all([this.discovery.announce({id: this.ownId, mayBegin: this.mayBegin}), waitFor(formationRetryMs, signal)]);
 			}
 		}
 	}
 
-	private createDuty(node: LogNode): MembershipDuty {
+	private createMembershipManager(node: LogNode): MembershipManager {
 		const {clock, voterCount, onEvent} = this.options;
-		return new MembershipDuty({
-			ownId: this.ownId, node, search: this.search, announcements: this.announcements, clock, voterCount, isCurrent: () => this.isCurrent, listMembers: () => this.memberAddresses, onEvent,
+		return new MembershipManager({
+			ownId: this.ownId,
+			node,
+			discovery: this.discovery,
+			announcements: this.announcements,
+			clock,
+			voterCount,
+			isCurrent: () => this.isCurrent,
+			listMemberAddresses: () => this.memberAddresses,
+			onEvent,
 		});
 	}
 }
--- a/packages/mastvalve-cluster/src/membership/identity.ts
+++ b/packages/mastvalve-cluster/src/membership/identity.ts
@@ -1,20 +1,19 @@
 /**
- * What an instance says of itself to others that look for the replicated log.
+ * The answer of an instance to peers that discover the replicated log.
  */
 
 import type {ReplicaId} from 'mastvalve-replication';
 
-/** What an instance says of itself. */
 export type Identity = {
-	/** Where it answers calls of other instances, `ip:port`. */
+	/** Address for calls from other instances, `ip:port`. */
 	address: string;
-	/** Undefined for an instance that keeps no log: it only tells others whom it knows. */
+	/** Undefined for an instance without a log, which only reports the peers that it knows. */
 	replicaId: ReplicaId | undefined;
 	clusterId: string | undefined;
 	initialVoters: ReplicaId[];
 	mayBegin: boolean;
-	/** Addresses of instances that keep the log or want to, as far as it knows them. */
+	/** Known addresses of instances that have a replica of the log or want one. */
 	peers: string[];
-	/** Who begins the log when no seed keeps one; told by seeds without a log only. */
+	/** The replica that creates the log when no seed has a replica; reported only by seeds without a log. */
 	founder: ReplicaId | undefined;
 };
--- a/packages/mastvalve-cluster/src/membership/leader-access.ts
+++ b/packages/mastvalve-cluster/src/membership/leader-proxy.ts
@@ -1,5 +1,5 @@
 /**
- * What any member of the group needs of its leader, wherever that is: changes committed, and how far everything is committed.
+ * Lets any member of the group commit commands and read the commit index at the leader, locally or over the network.
  */
 
 import {ControlUnavailableError, NotLeaderError, type MastvalveError} from 'mastvalve-types';
@@ -9,56 +9,53 @@
 import type {PeerClient} from '../peer/peer-client.js';
 import type {PeerHandler} from '../peer/peer-server.js';
 
-/** What the access is made from. */
-export type LeaderAccessOptions = {
-	/** Own address, `ip:port`. */
+export type LeaderProxyOptions = {
+	/** Address of this instance, `ip:port`. */
 	address: string;
 	client: PeerClient;
 	clock: Clock;
-	/** This instance's part in the log; undefined until it has one. */
+	/** Returns the log node of this instance, or undefined until it is started. */
 	readNode: () => LogNode | undefined;
 };
 
-/** A control instance with which no byte moves for this long is out of reach, ms: above an election, below the time in which callers go elsewhere. */
-const callSilenceMs = 700;
-/** How long a read waits until what is committed is applied here, ms. */
+/** A control instance that transfers no byte for this long counts as unreachable, ms: longer than an election, shorter than the time after which callers fail over. */
+const callIdleTimeoutMs = 700;
+/** Time limit for a read to wait until the committed entries are applied locally, ms. */
 const applyWaitMs = 700;
-/** How often that is looked at, ms. */
 const applyPollMs = 20;
-/** A change that no majority has confirmed after this long has no known outcome, ms: below the time in which operators go elsewhere. */
+/** A change that no majority has confirmed after this long has an unknown outcome, ms: shorter than the time after which operators fail over. */
 const proposeTimeoutMs = 2500;
 
-/** The access. */
-export class LeaderAccess {
-	constructor(private readonly options: LeaderAccessOptions) {}
+export class LeaderProxy {
+	constructor(private readonly options: LeaderProxyOptions) {}
 
-	/** Calls of the other members to this one as the leader. */
+	/** Returns the handlers for calls from other members to this one as the leader, by path. */
 	handlers(): Array<[string, PeerHandler]> {
 		return [
-			['/propose', async body => this.proposeHere(body)],
-			['/fresh', async () => this.readCommitted()],
+			['/propose', async body => this.proposeLocally(body)],
+			['/fresh', async () => this.readCommitIndex()],
 		];
 	}
 
-	/** Proposes a command at the leader, and gives its result. */
+	/** Proposes a command at the leader and returns its result. */
 	async propose(command: unknown): Promise<Result<unknown, MastvalveError>> {
 		if (this.node?.replica.role === Role.Leader) {
-			return this.proposeHere(command);
+			return this.proposeLocally(command);
 		}
 
 		return this.call('/propose', command);
 	}
 
-	/** Waits until all is applied here that was committed anywhere when it was called. */
-	async readFresh(): Promise<Result<true, MastvalveError>> {
-		// A change that is being written here is waited for below.
+	/** Waits until every entry that was committed at the time of the call is applied locally. */
+	async waitUntilFresh(): Promise<Result<true, MastvalveError>> {
+		// A change whose write is in flight on this instance is covered by the loop below.
 		const index = this.isLeading ? ok(this.node?.replica.commitIndex ?? 0) : await this.call<number>('/fresh', {});
 		if (index.isErr()) {
 			return err(index.error);
 		}
 
-		const endAt = this.options.clock.now() + applyWaitMs;
-		while (this.appliedIndex < index.value && this.options.clock.now() < endAt) {
+		const deadline = this.options.clock.now() + applyWaitMs;
+		while (this.appliedIndex < index.value && this.options.clock.now() < deadline) {
 			// eslint-disable-next-line no-await-in-loop
 			await waitFor(applyPollMs);
 		}
@@ -66,7 +63,7 @@
 		return this.appliedIndex >= index.value ? ok(true) : err(new ControlUnavailableError('This control instance is still catching up.'));
 	}
 
-	/** Calls the leader; fails at once when none is known. */
+	/** Calls the leader; fails immediately if none is known. */
 	async call<T>(path: string, body: unknown): Promise<Result<T, MastvalveError>> {
 		const address = this.node?.leaderName;
 		if (address === undefined || address === this.options.address) {
@@ -74,7 +71,7 @@
 		}
 
 		return this.options.client.call<T>({
-			address, path, body, idleTimeoutMs: callSilenceMs,
+			address, path, body, idleTimeoutMs: callIdleTimeoutMs,
 		});
 	}
 
@@ -86,21 +83,21 @@
 		return this.node?.appliedIndex ?? 0;
 	}
 
-	/** Whether this instance leads with a valid lease, whether or not it has applied all. */
+	/** Whether this instance leads with a valid lease, even if it has not applied all committed entries. */
 	private get isLeading(): boolean {
 		return this.node?.hasReadLease() ?? false;
 	}
 
-	private async proposeHere(command: unknown): Promise<Result<unknown, MastvalveError>> {
+	private async proposeLocally(command: unknown): Promise<Result<unknown, MastvalveError>> {
 		if (!this.node) {
 			return err(new ControlUnavailableError('This control instance is not part of a group yet.'));
 		}
 
-		const late = waitFor(proposeTimeoutMs).then(() => err(new ControlUnavailableError('No majority has confirmed the change in time.')));
-		return Promise.race([this.node.propose(command), late]);
+		const timeout = waitFor(proposeTimeoutMs).then(() => err(new ControlUnavailableError('No majority has confirmed the change in time.')));
+		return Promise.race([this.node.propose(command), timeout]);
 	}
 
-	private async readCommitted(): Promise<Result<number, MastvalveError>> {
+	private async readCommitIndex(): Promise<Result<number, MastvalveError>> {
 		return this.isLeading ? ok(this.node?.replica.commitIndex ?? 0) : err(new NotLeaderError(this.node?.leaderName));
 	}
 }
--- a/packages/mastvalve-cluster/src/membership/start-log-node.ts
+++ b/packages/mastvalve-cluster/src/membership/start-log-node.ts
@@ -1,5 +1,5 @@
 /**
- * Starts an instance's part in the replicated log, from what its journal holds.
+ * Starts the log node of an instance from its journal.
  */
 
 import {
@@ -9,22 +9,20 @@
 import type {LogTransport} from '../peer/log-transport.js';
 import type {ControlGroupOptions} from './control-group-options.js';
 import {groupTimes} from './group-times.js';
-import {persistUntilTaken} from './persist-until-taken.js';
+import {persistWithRetry} from './persist-with-retry.js';
 
-/** What the instance brings. */
-export type LogNodeParts = {
+export type LogNodeDependencies = {
 	id: ReplicaId;
 	journal: Journal;
 	transport: LogTransport;
-	/** Aborts when the instance ends. */
+	/** Aborts when the instance stops. */
 	signal: AbortSignal;
 };
 
-/** Entries between snapshots. */
 const snapshotIntervalEntries = 400;
 
-/** Restores the state machine, and runs the replica from there. */
-export const startLogNode = (options: ControlGroupOptions, {id, journal, transport, signal}: LogNodeParts): LogNode => {
+/** Restores the state machine from the latest snapshot, and starts the replica from the restored log. */
+export const startLogNode = (options: ControlGroupOptions, {id, journal, transport, signal}: LogNodeDependencies): LogNode => {
 	const {machine, clock, times, processStartedAt, onEvent, onError} = options;
 	const {header, restored} = journal;
 	if (restored.snapshot) {
@@ -50,14 +48,14 @@
 		send(message) {
 			transport.send(message);
 		},
-		persist: async write => persistUntilTaken({
+		persist: async write => persistWithRetry({
 			journal, write, signal, onError,
 		}),
 		onFailure(thrown) {
-			onError(`the log stopped, this instance takes no further part: ${describeError(thrown)}`);
+			onError(`the replicated log failed; this instance no longer participates: ${describeError(thrown)}`);
 		},
 		onSuspended() {
-			onEvent('replica.suspended', 'time has gone by that the steady clock did not count, or the time of day was set: leases begin anew');
+			onEvent('replica.suspended', 'the monotonic clock missed elapsed time, or the wall clock was set: leases start again');
 		},
 		onRoleChange(role, term, leader) {
 			onEvent('replica.changed-role', `${role} in term ${term}, leader ${leader ?? 'unknown'}`);
--- a/packages/mastvalve-cluster/src/peer/log-transport.ts
+++ b/packages/mastvalve-cluster/src/peer/log-transport.ts
@@ -1,8 +1,8 @@
 /**
- * Carries messages of the replicated log to other replicas, whose addresses are in their identities.
+ * Sends messages of the replicated log to other replicas, whose addresses are part of their identities.
  *
- * One call at a time goes to each peer and takes all that waits, so messages keep their order; while a peer is out of
- * reach only the newest wait, since the log sends again what was lost.
+ * Each peer has one call in flight, which carries a batch of the pending messages, so that messages keep their order. While
+ * a peer is unreachable only the newest messages stay pending, since the log resends what was lost.
  */
 
 import {
@@ -10,54 +10,53 @@
 } from 'mastvalve-replication';
 import type {PeerClient} from './peer-client.js';
 
-/** Messages that wait for one peer at the most. */
-const maxWaiting = 64;
-/** A peer with which no byte moves for this long is tried over a new connection, ms. About an election timeout. */
-const callSilenceMs = 700;
+/** Maximum number of pending messages per peer. */
+const maxPendingMessages = 64;
+/** A peer that transfers no byte for this long is called over a new connection, ms; about an election timeout. */
+const callIdleTimeoutMs = 700;
 
-type Link = {waiting: Message[]; isBusy: boolean};
+type PeerQueue = {pending: Message[]; isSending: boolean};
 
-/** Of messages that wait for one peer, those that go on waiting. */
-export const keepNewest = (waiting: readonly Message[]): Message[] => waiting.slice(-maxWaiting);
+/** Drops the oldest pending messages of a peer beyond the limit. */
+export const keepNewest = (pending: readonly Message[]): Message[] => pending.slice(-maxPendingMessages);
 
-/** Bytes of the log in one call, beside one message that may be larger: a peer reads a call whole before it acts on it. */
-const maxBodyBytes = 524_288;
+/** Log bytes per call, except for a single larger message: a peer reads the whole body of a call before it processes it. */
+const maxBatchBytes = 524_288;
 
-const estimateMessage = (message: Message): number =>
+const estimateMessageBytes = (message: Message): number =>
 	(message.kind === MessageKind.AppendRequest ? message.entries.reduce((sum, entry) => sum + estimateEntrySize(entry), 0) : 0);
 
-/** What goes into the next call. */
-export const takeBody = (waiting: readonly Message[]): Message[] => takeUpToSize(waiting, estimateMessage, maxBodyBytes);
+/** Returns the messages of the next call. */
+export const takeBatch = (pending: readonly Message[]): Message[] => takeUpToSize(pending, estimateMessageBytes, maxBatchBytes);
 
-/** The transport. */
 export class LogTransport {
-	private readonly links = new Map<string, Link>();
+	private readonly queues = new Map<string, PeerQueue>();
 
 	constructor(private readonly client: PeerClient) {}
 
-	/** Sends a message some time soon, or never. */
+	/** Queues a message; delivery is not guaranteed. */
 	send(message: Message): void {
 		const address = getInstanceName(message.to);
-		const link = this.links.get(address) ?? {waiting: [], isBusy: false};
-		this.links.set(address, link);
-		link.waiting = keepNewest([...link.waiting, message]);
-		if (!link.isBusy) {
-			void this.drain(address, link);
+		const queue = this.queues.get(address) ?? {pending: [], isSending: false};
+		this.queues.set(address, queue);
+		queue.pending = keepNewest([...queue.pending, message]);
+		if (!queue.isSending) {
+			void this.sendPending(address, queue);
 		}
 	}
 
-	private async drain(address: string, link: Link): Promise<void> {
-		link.isBusy = true;
-		while (link.waiting.length > 0) {
-			const body = takeBody(link.waiting);
-			link.waiting = link.waiting.slice(body.length);
-			// One call after the other keeps the order. A lost one is not sent again: the log's own timers do that.
+	private async sendPending(address: string, queue: PeerQueue): Promise<void> {
+		queue.isSending = true;
+		while (queue.pending.length > 0) {
+			const body = takeBatch(queue.pending);
+			queue.pending = queue.pending.slice(body.length);
+			// Sequential calls keep the order. A failed call is not retried: the timers of the log resend its messages.
 			// eslint-disable-next-line no-await-in-loop
 			await this.client.call({
-				address, path: '/log', body, idleTimeoutMs: callSilenceMs,
+				address, path: '/log', body, idleTimeoutMs: callIdleTimeoutMs,
 			});
 		}
 
-		link.isBusy = false;
+		queue.isSending = false;
 	}
 }
--- a/packages/mastvalve-cluster/src/peer/peer-body.ts
+++ b/packages/mastvalve-cluster/src/peer/peer-body.ts
@@ -1,32 +1,30 @@
 /**
- * Bodies of calls between mastvalve's own processes: JSON, packed where that saves more than it costs.
+ * Bodies of calls between the processes of mastvalve: JSON, compressed where that saves more time than it costs.
  */
 
 import {Buffer} from 'node:buffer';
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 
-/** A body as it travels. */
-export type PeerBody = {bytes: Uint8Array; headers: Record<string, string | number>};
+export type EncodedBody = {bytes: Uint8Array; headers: Record<string, string | number>};
 
-/** Shorter bodies travel in three packets at the most; packing would save none of their time, bytes. */
-const minPackedBytes = 4096;
-/** The fastest: a part of 220 routes goes from 51 to 3.8 KB in 0.11 ms; the best takes 0.18 ms for 3.4 KB. */
-const level = 1;
-/** Name of the packing in `content-encoding`. */
-const packing = 'deflate-raw';
+/** Shorter bodies fit into at most three packets, so compression would save no transfer time, bytes. */
+const minCompressedBytes = 4096;
+/** The fastest level: reduces a batch of 220 routes from 51 to 3.8 KB in 0.11 ms; the best level takes 0.18 ms for 3.4 KB. */
+const compressionLevel = 1;
+/** Value of `content-encoding` for compressed bodies. */
+const compression = 'deflate-raw';
 
-/** Encodes a body. */
-export const encodeBody = (value: unknown): PeerBody => {
+export const encodeBody = (value: unknown): EncodedBody => {
 	const plain = Buffer.from(JSON.stringify(value));
-	const isPacked = plain.length >= minPackedBytes;
-	const bytes = isPacked ? deflateRawSync(plain, {level}) : plain;
+	const isCompressed = plain.length >= minCompressedBytes;
+	const bytes = isCompressed ? deflateRawSync(plain, {level: compressionLevel}) : plain;
 	return {
-		bytes, headers: {'content-type': 'application/json', 'content-length': bytes.length, ...(isPacked ? {'content-encoding': packing} : {})},
+		bytes, headers: {'content-type': 'application/json', 'content-length': bytes.length, ...(isCompressed ? {'content-encoding': compression} : {})},
 	};
 };
 
-/** Decodes a body; throws when it is damaged. */
+/** Decodes a body; throws if it is corrupt. */
 export const decodeBody = (bytes: Uint8Array, encoding: string | undefined): unknown => {
-	const plain = encoding === packing ? inflateRawSync(bytes) : Buffer.from(bytes);
+	const plain = encoding === compression ? inflateRawSync(bytes) : Buffer.from(bytes);
 	return JSON.parse(plain.toString()) as unknown;
 };
--- a/packages/mastvalve-cluster/src/peer/peer-client.ts
+++ b/packages/mastvalve-cluster/src/peer/peer-client.ts
@@ -1,8 +1,8 @@
 /**
- * Calls between mastvalve's own processes: JSON over kept HTTP connections.
+ * Client for calls between the processes of mastvalve: JSON over persistent HTTP connections.
  *
- * It uses Node's own client rather than tRPC: a restarted process at half a core is of use only once it has loaded,
- * and the libraries for typed calls take longer to load than all the rest of an entry (docs/HOUSE-STYLE.md).
+ * It uses the HTTP client of Node.js instead of tRPC: a restarted process on half a core serves nothing until its modules
+ * are loaded, and the libraries for typed calls load longer than the rest of an entry (docs/HOUSE-STYLE.md).
  */
 
 import {
@@ -14,9 +14,9 @@
 } from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
 import {decodeBody, encodeBody} from './peer-body.js';
-import {SilenceWatch} from './silence-watch.js';
+import {IdleTimer} from './idle-timer.js';
 
-/** A call to another process of mastvalve that got no answer, or one that says no. */
+/** Returned when a call to another process of mastvalve gets no response, or one with a status other than 200. */
 export class PeerError extends MastvalveError {
 	constructor(address: string, path: string, reason: string, readonly statusCode?: number) {
 		super('peer', `${address}${path}: ${reason}`, {status: 503, outcome: Outcome.Unknown, retryAfterSeconds: 1});
@@ -24,50 +24,48 @@
 	}
 }
 
-/** Kept idle for less time than a server keeps them, ms. */
-const idleConnectionMs = 20_000;
+/** Lifetime of an idle connection, ms; shorter than on the server. */
+const keepAliveMs = 20_000;
 
-/** Bytes that are handed to a connection at once; each piece that the connection has taken shows that the peer reads. */
-const pieceBytes = 16_384;
+/** Bytes per write to a connection; each completed write shows that the peer reads. */
+const chunkBytes = 16_384;
 
-/** Options of a call. */
 export type PeerCall = {
 	address: string;
 	path: string;
 	body: unknown;
-	/** Longest time without a byte from or to the peer, ms; the whole may take longer. */
+	/** Longest time without a byte from or to the peer, ms; the whole call may take longer. */
 	idleTimeoutMs: number;
 	signal?: AbortSignal;
 };
 
-/** A client for all peers. */
 export class PeerClient {
-	private readonly agent = new Agent({keepAlive: true, timeout: idleConnectionMs, scheduling: 'lifo'});
+	private readonly agent = new Agent({keepAlive: true, timeout: keepAliveMs, scheduling: 'lifo'});
 
 	/**
-	 * Posts JSON and reads JSON. A peer with which no byte moves counts as out of reach, and its connection is given up. The
-	 * limit is on silence, not on the whole: a limit on the whole is one that a large answer on a slow link never keeps, so
-	 * it would be begun again and again.
+	 * Posts a JSON body and parses the JSON response. A peer that transfers no byte within `idleTimeoutMs` counts as
+	 * unreachable, and its connection is closed. There is no limit on the whole call: a large response over a slow link would
+	 * always exceed it and be requested again and again.
 	 */
 	async call<T>({address, path, body, idleTimeoutMs, signal}: PeerCall): Promise<Result<T, PeerError>> {
 		return new Promise(resolve => {
-			let received = 0;
+			let receivedBytes = 0;
 			const {bytes, headers} = encodeBody(body);
 			const [host, port] = address.split(':');
 			const req = request({
 				host, port, path, method: 'POST', agent: this.agent, signal, headers,
 			});
-			const watch = new SilenceWatch(idleTimeoutMs, () => {
-				req.destroy(new Error(`nothing moved for ${idleTimeoutMs} ms after ${received} bytes of an answer`));
+			const idleTimer = new IdleTimer(idleTimeoutMs, () => {
+				req.destroy(new Error(`nothing moved for ${idleTimeoutMs} ms after ${receivedBytes} bytes of an answer`));
 				dropIdleConnections(this.agent, address);
 			});
-			const done = (result: Result<T, PeerError>): void => {
-				watch.end();
+			const settle = (result: Result<T, PeerError>): void => {
+				idleTimer.stop();
 				resolve(result);
 			};
 
 			const fail = (reason: string, status?: number): void => {
-				done(err(new PeerError(address, path, reason, status)));
+				settle(err(new PeerError(address, path, reason, status)));
 			};
 
 			const onClose = (): void => {
@@ -79,23 +77,23 @@
 				fail(describeError(error));
 			});
 			req.once('response', (res: IncomingMessage) => {
-				// From here on the body tells how it ends; the request may close before the body was handed over.
+				// From here on the outcome depends on the body; the request may close before the body is delivered.
 				req.off('close', onClose);
 				res.on('data', (chunk: Uint8Array) => {
-					received += chunk.length;
-					watch.touch();
+					receivedBytes += chunk.length;
+					idleTimer.reset();
 				});
 				readAnswer(res).then(answer => {
 					if (res.statusCode === 200) {
-						done(ok(assumeType<T>(answer)));
+						settle(ok(assumeType<T>(answer)));
 					} else {
-						fail(JSON.stringify(answer).slice(0, maxReason), res.statusCode);
+						fail(JSON.stringify(answer).slice(0, maxReasonLength), res.statusCode);
 					}
 				}).catch((error: unknown) => {
 					fail(describeError(error));
 				});
 			});
-			sendPieces(req, bytes, watch.touch);
+			sendInChunks(req, bytes, idleTimer.reset);
 		});
 	}
 
@@ -104,16 +102,16 @@
 	}
 }
 
-/** Characters of a refusal that are kept. */
-const maxReason = 200;
+/** Maximum characters of an error response in the message of a `PeerError`. */
+const maxReasonLength = 200;
 
 const readAnswer = async (res: IncomingMessage): Promise<unknown> => decodeBody(await collectBytes(res), res.headers['content-encoding']);
 
-/** Sends a body piece by piece; `onMoved` is called whenever the connection has taken one. */
-const sendPieces = (req: ClientRequest, bytes: Uint8Array, onMoved: () => void): void => {
-	const count = Math.ceil(bytes.length / pieceBytes);
-	Array.from({length: count}, (_, index) => bytes.subarray(index * pieceBytes, (index + 1) * pieceBytes)).forEach(piece => {
-		req.write(piece, onMoved);
+/** Sends a body in chunks; `onProgress` is called after each completed write. */
+const sendInChunks = (req: ClientRequest, bytes: Uint8Array, onProgress: () => void): void => {
+	const count = Math.ceil(bytes.length / chunkBytes);
+	Array.from({length: count}, (_, index) => bytes.subarray(index * chunkBytes, (index + 1) * chunkBytes)).forEach(chunk => {
+		req.write(chunk, onProgress);
 	});
 	req.end();
 };
--- a/packages/mastvalve-cluster/src/peer/peer-server.ts
+++ b/packages/mastvalve-cluster/src/peer/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * The other end of calls between mastvalve's own processes.
+ * Server for calls between the processes of mastvalve.
  */
 
 import {
@@ -10,11 +10,11 @@
 import {err, ok, type Result} from 'neverthrow';
 import {decodeBody, encodeBody} from './peer-body.js';
 
-/** Answers one path; the signal aborts when the caller has gone. */
+/** Handles the calls of one path; the signal aborts when the caller disconnects. */
 export type PeerHandler = (body: unknown, signal: AbortSignal) => Promise<Result<unknown, MastvalveError>>;
 
-/** Connections that rest are closed after this, ms. */
-const idleConnectionMs = 30_000;
+/** Lifetime of an idle connection, ms. */
+const keepAliveMs = 30_000;
 
 const sendJson = (res: ServerResponse, status: number, body: unknown): void => {
 	const {bytes, headers} = encodeBody(body);
@@ -22,7 +22,7 @@
 	res.end(bytes);
 };
 
-const handle = async (handlers: ReadonlyMap<string, PeerHandler>, req: IncomingMessage, res: ServerResponse): Promise<void> => {
+const handleRequest = async (handlers: ReadonlyMap<string, PeerHandler>, req: IncomingMessage, res: ServerResponse): Promise<void> => {
 	const handler = handlers.get(req.url ?? '');
 	if (!handler) {
 		req.resume();
@@ -30,12 +30,12 @@
 		return;
 	}
 
-	const ending = new AbortController();
+	const disconnect = new AbortController();
 	res.once('close', () => {
-		ending.abort();
+		disconnect.abort();
 	});
 	const body = decodeBody(await collectBytes(req), req.headers['content-encoding']);
-	const result = await handler(body, ending.signal);
+	const result = await handler(body, disconnect.signal);
 	if (result.isOk()) {
 		sendJson(res, 200, result.value);
 	} else {
@@ -48,12 +48,12 @@
 	new Promise(resolve => {
 		const [host, port] = listen.split(':');
 		const server = createServer((req, res) => {
-			handle(handlers, req, res).catch((error: unknown) => {
-				onError(`a peer's call ${req.url} failed: ${describeError(error)}`);
+			handleRequest(handlers, req, res).catch((error: unknown) => {
+				onError(`peer call ${req.url} failed: ${describeError(error)}`);
 				res.destroy();
 			});
 		});
-		server.keepAliveTimeout = idleConnectionMs;
+		server.keepAliveTimeout = keepAliveMs;
 		server.requestTimeout = 0;
 		server.once('error', error => {
 			resolve(err(toMastvalveError(error)));
