--- a/packages/mastvalve-gateway/__tests__/__fixtures__/entries-and-control.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/entries-and-control.ts
@@ -1,5 +1,5 @@
 /**
- * Several entries that follow one control instance, and callers of them.
+ * Runs several entries that follow one control instance, and sends requests to them.
  */
 
 import {request} from 'node:http';
@@ -12,10 +12,9 @@
 import {GatewayNode} from '../../src/index.js';
 import {testDialect} from './running-gateway.js';
 
-/** A line that an entry has logged. */
 export type LoggedLine = {kind: string; fields: Record<string, unknown>};
 
-/** What a caller got; status 0 for an answer that broke off or never came. */
+/** Answer to a caller; status 0 when it is incomplete or missing. */
 export type CallResult = {status: number; retryAfter: number | undefined; tookMs: number};
 
 const createRoute = (kind: RouteKind): Route => ({
@@ -36,24 +35,23 @@
 
 type RunningEntry = {node: GatewayNode; address: string; client: PeerClient};
 
-/** The entries and control. */
 export class EntriesAndControl {
 	static async open(count: number): Promise<EntriesAndControl> {
 		const [port, ...ports] = await findFreePorts(count + 1);
 		const single = await SingleControl.open(`127.0.0.1:${port}`);
-		const running = new EntriesAndControl(single, `127.0.0.1:${port}`, ports.map(each => `127.0.0.1:${each}`));
-		await waitUntil('the configuration is in force', async () => {
+		const fleet = new EntriesAndControl(single, `127.0.0.1:${port}`, ports.map(each => `127.0.0.1:${each}`));
+		await waitUntil('the configuration is committed', async () => {
 			const result = await single.control.configure(stated);
 			return result.isOk();
 		});
-		await Promise.all(running.addresses.map(async (_, index) => running.begin(index)));
-		return running;
+		await Promise.all(fleet.addresses.map(async (_, index) => fleet.startEntry(index)));
+		return fleet;
 	}
 
 	readonly logged: LoggedLine[] = [];
-	/** Which entry was sent a request, by its identity. */
+	/** Index of the entry that was sent a request, by request id. */
 	readonly entryOf = new Map<string, number>();
-	/** Requests that were sent since an entry was last restarted. */
+	/** Number of requests since an entry was last restarted. */
 	callsSinceRestart = 0;
 	private readonly entries: RunningEntry[] = [];
 	private requests = 0;
@@ -64,19 +62,18 @@
 		return this.addresses.length;
 	}
 
-	/** Ends an entry and starts another in its place that knows nothing. */
+	/** Replaces an entry by a new one without state. */
 	async restart(index: number): Promise<void> {
-		await this.end(index);
-		await this.begin(index);
+		await this.stopEntry(index);
+		await this.startEntry(index);
 		this.callsSinceRestart = 0;
 	}
 
-	/** Waits until every entry knows as many endpoints. */
+	/** Waits until every entry knows this number of endpoints. */
 	async waitForEndpoints(count: number): Promise<void> {
 		await waitUntil(`all entries know ${count} endpoints`, async () => this.entries.every(({node}) => node.view.listEndpoints('s').length === count));
 	}
 
-	/** Sends a request to an entry. */
 	async call(index: number, path: string, body: string): Promise<CallResult> {
 		this.requests += 1;
 		this.callsSinceRestart += 1;
@@ -109,11 +106,11 @@
 	}
 
 	async close(): Promise<void> {
-		await Promise.all(this.addresses.map(async (_, index) => this.end(index)));
+		await Promise.all(this.addresses.map(async (_, index) => this.stopEntry(index)));
 		await this.single.close();
 	}
 
-	private async begin(index: number): Promise<void> {
+	private async startEntry(index: number): Promise<void> {
 		const client = new PeerClient();
 		const node = new GatewayNode({
 			instance: `entry-${index}`,
@@ -138,7 +135,7 @@
 		await waitUntil('the entry is ready', async () => node.isReady);
 	}
 
-	private async end(index: number): Promise<void> {
+	private async stopEntry(index: number): Promise<void> {
 		const entry = this.entries[index];
 		await entry?.node.stop(0);
 		entry?.client.close();
