--- a/packages/mastvalve-gateway/src/requests/send-attempt.ts
+++ b/packages/mastvalve-gateway/src/requests/send-attempt.ts
@@ -35,7 +35,7 @@
 			bodyLength: hasBody(request) ? request.body.length : undefined, workspace: workspace?.name,
 		}, {needsKeys: configuration?.needsKeys ?? false}),
 		body: request.body,
-		connectMs: connectTimeoutMs,
+		connectTimeoutMs,
 		signal: request.signal,
 	});
 };
--- a/packages/mastvalve-gateway/src/requests/serve-request.ts
+++ b/packages/mastvalve-gateway/src/requests/serve-request.ts
@@ -74,7 +74,7 @@
 	}
 
 	core.tracker.recordFailure(endpoint.id);
-	if (outcome.isRefused) {
+	if (outcome.isConnectionRefused) {
 		core.tracker.recordNotListening(endpoint.id);
 		core.demand.recordNotListening(endpoint.id);
 	}
--- a/packages/mastvalve-gateway/src/upstream/exchange.ts
+++ b/packages/mastvalve-gateway/src/upstream/exchange.ts
@@ -1,27 +1,25 @@
 /**
- * One attempt at one endpoint: hands a request over and says truthfully what became of it.
+ * Sends one attempt to one endpoint and classifies its outcome by whether the request may have run.
  */
 
 import {request, type IncomingMessage} from 'node:http';
 import {assumeType, describeError, dropIdleConnections} from 'mastvalve-utils';
 import type {UpstreamAgent} from './upstream-agent.js';
 
-/** How an attempt went. */
 export enum ExchangeKind {
-	/** The head of an answer is here. */
+	/** The response head has arrived. */
 	Answered = 'answered',
-	/** Nothing was handed over. */
+	/** No connection was established, so nothing was sent. */
 	NotSent = 'not-sent',
-	/** It was handed over, and no answer came; it may have run. */
+	/** The request was sent and no response arrived; it may have run. */
 	Lost = 'lost',
 }
 
-/** The outcome of an attempt. */
+/** Outcome of an attempt. `isBroken` is whether the connection has failed since the response head arrived. */
 export type ExchangeOutcome
 	= | {kind: ExchangeKind.Answered; res: IncomingMessage; cancel: () => void; isBroken: () => boolean}
-		| {kind: ExchangeKind.NotSent | ExchangeKind.Lost; reason: string; isRefused: boolean};
+		| {kind: ExchangeKind.NotSent | ExchangeKind.Lost; reason: string; isConnectionRefused: boolean};
 
-/** What an attempt needs. */
 export type ExchangeOptions = {
 	agent: UpstreamAgent;
 	/** `ip:port`. */
@@ -29,23 +27,23 @@
 	method: string;
 	/** Path and query. */
 	path: string;
-	/** Flat list of names and values. */
+	/** Alternating names and values, as in `rawHeaders`. */
 	headers: string[];
 	body: Uint8Array;
-	/** A connection must be up in this time, ms. */
-	connectMs: number;
-	/** Aborts when the caller leaves or the time is over. */
+	/** Time limit for establishing a connection, ms. */
+	connectTimeoutMs: number;
+	/** Aborts when the caller disconnects or the deadline passes. */
 	signal: AbortSignal;
 };
 
 /**
- * A kept connection without an answer for this long may be silent for good, so the others that rest are closed, ms. The
- * attempt itself goes on. Above the time in which engines with free slots begin to answer (0.1 to 0.5 s).
+ * Time without a response head after which a reused connection is presumed dead, ms. The idle connections to the same endpoint are
+ * then closed; the attempt itself continues. Longer than engines with free slots take to start responding (0.1 to 0.5 s).
  */
-const silentMs = 600;
+const staleConnectionMs = 600;
 
-/** Makes the attempt; never throws. */
-export const exchange = async ({agent, address, method, path, headers, body, connectMs, signal}: ExchangeOptions): Promise<ExchangeOutcome> =>
+/** Sends an attempt; the promise never rejects. */
+export const exchange = async ({agent, address, method, path, headers, body, connectTimeoutMs, signal}: ExchangeOptions): Promise<ExchangeOutcome> =>
 	new Promise(resolve => {
 		const [host, port] = address.split(':');
 		const req = request({
@@ -54,22 +52,22 @@
 		let isSent = false;
 		let hasFailed = false;
 		let reason = '';
-		let isRefused = false;
+		let isConnectionRefused = false;
 		const cancel = (): void => {
 			req.destroy();
 		};
 
-		const timer = setTimeout(() => {
+		const connectTimer = setTimeout(() => {
 			if (!isSent) {
-				reason = `no connection within ${connectMs} ms`;
+				reason = `no connection within ${connectTimeoutMs} ms`;
 				req.destroy();
 			}
-		}, connectMs);
-		const silence = setTimeout(() => {
+		}, connectTimeoutMs);
+		const staleTimer = setTimeout(() => {
 			if (req.reusedSocket) {
 				dropIdleConnections(agent, address);
 			}
-		}, silentMs);
+		}, staleConnectionMs);
 		const onAbort = (): void => {
 			reason ||= 'given up';
 			req.destroy();
@@ -77,8 +75,8 @@
 
 		signal.addEventListener('abort', onAbort, {once: true});
 		req.once('socket', socket => {
-			// Bytes and a reset that come together are read as bytes and a proper end (libuv takes a hang-up after a short
-			// read for one). A connection that ended properly still has a peer; one that was reset has none.
+			// Data that arrives together with a reset is reported as data followed by a normal end, since libuv treats a hang-up after
+			// a short read as EOF. A socket that ended normally still has a remote address; one that was reset has none.
 			const onEnd = (): void => {
 				hasFailed ||= socket.remoteAddress === undefined;
 			};
@@ -97,25 +95,27 @@
 		});
 		req.on('error', error => {
 			hasFailed = true;
-			isRefused = assumeType<NodeJS.ErrnoException>(error).code === 'ECONNREFUSED';
+			isConnectionRefused = assumeType<NodeJS.ErrnoException>(error).code === 'ECONNREFUSED';
 			reason ||= describeError(error);
 		});
 		req.once('close', () => {
-			clearTimeout(timer);
-			clearTimeout(silence);
+			clearTimeout(connectTimer);
+			clearTimeout(staleTimer);
 			signal.removeEventListener('abort', onAbort);
-			resolve({kind: isSent ? ExchangeKind.Lost : ExchangeKind.NotSent, reason: reason || 'the connection closed', isRefused});
+			resolve({kind: isSent ? ExchangeKind.Lost : ExchangeKind.NotSent, reason: reason || 'the connection closed', isConnectionRefused});
 		});
 		req.once('response', res => {
-			clearTimeout(timer);
-			clearTimeout(silence);
-			agent.noteAnswer(res);
+			clearTimeout(connectTimer);
+			clearTimeout(staleTimer);
+			agent.recordKeepAlive(res);
 			if (!req.writableFinished) {
-				// An answer that came before the whole request was read: the rest may not be taken for the next request.
+				// The endpoint responded before it had read the whole request. The connection can't be reused: the rest of the body
+				// would be parsed as the next request.
 				res.once('end', cancel);
 			}
 
-			// Node ends a body without length also when the connection was reset; the error comes first and tells.
+			// Node also ends a body without a declared length when the connection is reset. The error is emitted before that end,
+			// so `isBroken` distinguishes the two.
 			resolve({
 				kind: ExchangeKind.Answered, res, cancel, isBroken: () => hasFailed,
 			});
--- a/packages/mastvalve-gateway/src/upstream/upstream-agent.ts
+++ b/packages/mastvalve-gateway/src/upstream/upstream-agent.ts
@@ -1,6 +1,6 @@
 /**
- * Kept connections to endpoints. A connection is used again only while it is provably clean: any byte that arrives
- * while nobody waits for an answer closes it. It rests for less time than the endpoint says that it keeps it.
+ * Keep-alive connections to endpoints. An idle connection that receives any byte is closed, since that byte would be read as the
+ * response to the next request. Idle connections are closed before the keep-alive timeout that their endpoint announces.
  */
 
 import {Agent, type ClientRequest, type IncomingMessage} from 'node:http';
@@ -8,47 +8,46 @@
 import type {Duplex} from 'node:stream';
 import {assumeType} from 'mastvalve-utils';
 
-/** Connections whose endpoint does not say how long it keeps them rest this long, ms; shorter than any was seen to be kept. */
-const idleMs = 4000;
-/** Part of the time that an endpoint tells, so that this side closes first. */
-const toldShare = 0.85;
+/** Idle timeout for endpoints that announce no keep-alive timeout, ms; shorter than any keep-alive timeout observed. */
+const defaultIdleTimeoutMs = 4000;
+/** Fraction of the announced keep-alive timeout after which an idle connection is closed, so that this side closes first. */
+const keepAliveShare = 0.85;
 const msPerSecond = 1000;
 
 const closeOnData = function (this: Duplex): void {
 	this.destroy();
 };
 
-/** The agent of all connections to endpoints. */
 export class UpstreamAgent extends Agent {
-	/** How long a connection may rest, as its endpoint told, ms. */
-	private readonly told = new WeakMap<Duplex, number>();
+	/** Idle timeouts derived from the `Keep-Alive` header, by connection. */
+	private readonly idleTimeoutsMs = new WeakMap<Duplex, number>();
 
 	constructor() {
-		super({keepAlive: true, scheduling: 'lifo', timeout: idleMs});
+		super({keepAlive: true, scheduling: 'lifo', timeout: defaultIdleTimeoutMs});
 	}
 
-	/** Takes note of the time for which an endpoint keeps a connection. */
-	noteAnswer({socket, headers}: IncomingMessage): void {
+	/** Records the keep-alive timeout that a response announces for its connection. */
+	recordKeepAlive({socket, headers}: IncomingMessage): void {
 		const seconds = Number(/timeout=(?<seconds>\d+)/v.exec(String(headers['keep-alive']))?.groups?.seconds ?? Number.NaN);
 		if (Number.isFinite(seconds)) {
-			this.told.set(socket, seconds * msPerSecond * toldShare);
+			this.idleTimeoutsMs.set(socket, seconds * msPerSecond * keepAliveShare);
 		}
 	}
 
-	/** Node asks whether a connection that has become free may be kept. */
-	// Node's types hide that the result counts.
+	/** Called by Node when a connection becomes idle; returns whether to keep it. */
+	// Node's type declarations omit that the return value is used.
 	// eslint-disable-next-line @typescript-eslint/strict-void-return
 	override keepSocketAlive(socket: Duplex): boolean {
 		const isKept = assumeType<(socket: Duplex) => boolean>(super.keepSocketAlive).call(this, socket);
 		if (isKept) {
-			assumeType<Socket>(socket).setTimeout(this.told.get(socket) ?? idleMs);
+			assumeType<Socket>(socket).setTimeout(this.idleTimeoutsMs.get(socket) ?? defaultIdleTimeoutMs);
 			socket.on('data', closeOnData);
 		}
 
 		return isKept;
 	}
 
-	/** Node takes a kept connection for the next request. */
+	/** Called by Node before an idle connection is used for the next request. */
 	override reuseSocket(socket: Duplex, req: ClientRequest): void {
 		socket.off('data', closeOnData);
 		super.reuseSocket(socket, req);
