--- a/packages/mastvalve-bench/src/policy/bench-policy.ts
+++ b/packages/mastvalve-bench/src/policy/bench-policy.ts
@@ -3,7 +3,7 @@
  */
 
 import {
-	chooseBestOfTwo, chooseByScore, chooseLeastReported, chooseRandomly, type ChooseCandidate,
+	chooseBestOfTwo, chooseByScore, chooseLeastReportedLoad, chooseRandomly, type ChooseCandidate,
 } from 'mastvalve-routing';
 
 /** How models are placed. */
@@ -37,10 +37,10 @@
 		name: 'static, round-robin', placement: PlacementKind.Static, choose: undefined, seesTrueLoad: false,
 	},
 	{
-		name: 'on demand, LRU, least loaded', placement: PlacementKind.OnDemand, choose: chooseLeastReported, seesTrueLoad: false,
+		name: 'on demand, LRU, least loaded', placement: PlacementKind.OnDemand, choose: chooseLeastReportedLoad, seesTrueLoad: false,
 	},
 	{
-		name: 'bound: all everywhere, true load', placement: PlacementKind.Everywhere, choose: chooseLeastReported, seesTrueLoad: true,
+		name: 'bound: all everywhere, true load', placement: PlacementKind.Everywhere, choose: chooseLeastReportedLoad, seesTrueLoad: true,
 	},
 ];
 
@@ -50,7 +50,7 @@
 		name: 'random', placement: PlacementKind.Ours, choose: chooseRandomly, seesTrueLoad: false,
 	},
 	{
-		name: 'least reported', placement: PlacementKind.Ours, choose: chooseLeastReported, seesTrueLoad: false,
+		name: 'least reported', placement: PlacementKind.Ours, choose: chooseLeastReportedLoad, seesTrueLoad: false,
 	},
 	{
 		name: 'best of two', placement: PlacementKind.Ours, choose: chooseBestOfTwo, seesTrueLoad: false,
--- a/packages/mastvalve-bench/src/policy/run-policy.ts
+++ b/packages/mastvalve-bench/src/policy/run-policy.ts
@@ -216,7 +216,7 @@
 		const model = this.shape.models[request.model]?.name ?? '';
 		this.served[request.priority].all += 1;
 		this.counts[entry]?.set(model, (this.counts[entry].get(model) ?? 0) + 1);
-		this.budgets[entry]?.recordFirstTry();
+		this.budgets[entry]?.recordFirstAttempt();
 		this.attempt(request, model, entry, new Set());
 	}
 
--- a/packages/mastvalve-bench/src/policy/virtual-endpoint.ts
+++ b/packages/mastvalve-bench/src/policy/virtual-endpoint.ts
@@ -167,10 +167,10 @@
 
 	private advance(): void {
 		const now = this.options.time.now();
-		this.queue.takeExpired(now).forEach(request => {
+		this.queue.removeExpired(now).forEach(request => {
 			this.refuse(request.id);
 		});
-		this.queue.takeReady(now, model => this.isReady(model)).forEach(request => {
+		this.queue.dequeueReady(now, model => this.isReady(model)).forEach(request => {
 			const waited = this.waiting.get(request.id);
 			this.waiting.delete(request.id);
 			if (waited) {
--- a/packages/mastvalve-entry/src/routing/endpoint-table.ts
+++ b/packages/mastvalve-entry/src/routing/endpoint-table.ts
@@ -75,14 +75,14 @@
 		const knowledge = this.knowledgeOf(endpoint);
 		knowledge.suspectUntil = this.clock.now() + Math.min(maxSuspicionMs, firstSuspicionMs * (2 ** knowledge.failures));
 		knowledge.failures += 1;
-		this.prefixes.forgetEndpoint(endpoint.id);
+		this.prefixes.removeEndpoint(endpoint.id);
 	}
 
 	/** Forgets endpoints that are no longer in the configuration. */
 	forgetMissing(configuration: Configuration): void {
 		[...this.known.keys()].filter(id => !configuration.endpoints[id]).forEach(id => {
 			this.known.delete(id);
-			this.prefixes.forgetEndpoint(id);
+			this.prefixes.removeEndpoint(id);
 		});
 	}
 
@@ -95,7 +95,7 @@
 			isResident,
 			reportedLoad: knowledge.othersLoad * Math.exp((knowledge.reportedAt - now) / reportDecayMs),
 			ownInFlight: knowledge.ownInFlight,
-			prefixShare: this.prefixes.shareOf(prefixes, endpoint.id),
+			prefixShare: this.prefixes.computeHeldShare(prefixes, endpoint.id),
 			isSuspect: now < knowledge.suspectUntil,
 		};
 	}
--- a/packages/mastvalve-entry/src/server/model-routes.ts
+++ b/packages/mastvalve-entry/src/server/model-routes.ts
@@ -71,7 +71,7 @@
 
 	const {head, body, model} = checked.value;
 	core.demand.set(model.name, (core.demand.get(model.name) ?? 0) + 1);
-	core.budget.recordFirstTry();
+	core.budget.recordFirstAttempt();
 	core.countAttempt(false);
 	core.context.timeline.record('request.received', `${path} for ${body.model}`, requestId);
 	const request: EntryRequest = {
--- a/packages/mastvalve-entry/src/server/service-routes.ts
+++ b/packages/mastvalve-entry/src/server/service-routes.ts
@@ -66,7 +66,7 @@
 	const {head, service, path, pathOnly} = call.value;
 	const {method} = c.req;
 	const body = repeatableMethods.has(method) ? undefined : new Uint8Array(await c.req.arrayBuffer());
-	core.budget.recordFirstTry();
+	core.budget.recordFirstAttempt();
 	core.countAttempt(false);
 	core.context.timeline.record('request.received', `${method} ${pathOnly} of ${service.name}`, requestId);
 	const request: EntryRequest = {
--- a/packages/mastvalve-proofs/__tests__/answers.proofs.ts
+++ b/packages/mastvalve-proofs/__tests__/answers.proofs.ts
@@ -184,8 +184,8 @@
 
 /** An admission that puts a request back into the queue while its caller is told that it was refused. */
 class LeakyQueue extends AdmissionQueue {
-	override takeExpired(now: number): AdmissionRequest[] {
-		const expired = super.takeExpired(now);
+	override removeExpired(now: number): AdmissionRequest[] {
+		const expired = super.removeExpired(now);
 		expired.forEach(request => {
 			super.offer({...request, deadlineAt: now + 1e6}, now, false);
 		});
@@ -244,7 +244,7 @@
 					}
 
 					case 'expire': {
-						queue.takeExpired(now).forEach(request => {
+						queue.removeExpired(now).forEach(request => {
 							given.add(request.id);
 						});
 
@@ -252,7 +252,7 @@
 					}
 
 					case 'take': {
-						queue.takeReady(now, model => model === 'warm' || pick % 2 === 0).forEach(request => {
+						queue.dequeueReady(now, model => model === 'warm' || pick % 2 === 0).forEach(request => {
 							started.add(request.id);
 						});
 					}
--- a/packages/mastvalve-routing/src/admission-queue.ts
+++ b/packages/mastvalve-routing/src/admission-queue.ts
@@ -1,57 +1,54 @@
 /**
- * Admission to one endpoint: how many run, who waits, who is refused at once.
+ * Admission control of one endpoint: decides which requests run, are queued or are refused on arrival.
  *
- * It is the only place that counts an endpoint's requests, so its count is exact. A request that can't start before
- * its deadline is refused on arrival, with the time at which the queue will have drained; one whose deadline passes
- * while it waits is given up at that moment. Within a class the earliest deadline goes first, and waiting lifts a
- * request by a class after `agingMs`, so that no class starves.
+ * All requests of the endpoint pass through its one queue, so the counts are exact. A request that can't start before its deadline is
+ * refused on arrival, with the estimated time until the queue has drained; a queued request is removed once its deadline has passed.
+ * Requests are ordered by priority, then by earliest deadline. The priority rises by one level per `agingMs` in the queue, so that no
+ * priority starves.
  */
 
 import {prioritiesByUrgency, type Priority} from 'mastvalve-types';
 import {minBy} from 'mastvalve-utils';
 
-/** A request that asks to be admitted. Times are monotonic ms. */
+/** A request for admission. Times are monotonic, ms. */
 export type AdmissionRequest = {
 	id: string;
 	priority: Priority;
 	arrivedAt: number;
 	deadlineAt: number;
-	/** The model that it needs; undefined for plain services. */
+	/** Required model; undefined for plain services. */
 	model: string | undefined;
 };
 
-/** What is decided on arrival. */
 export enum AdmissionDecision {
 	Admitted = 'admitted',
 	Queued = 'queued',
 	Refused = 'refused',
 }
 
-/** The answer to an arrival. */
-export type AdmissionAnswer = {
+export type AdmissionResult = {
 	decision: AdmissionDecision;
-	/** When asking again may help, ms; for a refusal. */
+	/** Delay before a retry may succeed, ms; 0 unless refused. */
 	retryAfterMs: number;
-	/** A less urgent request that had to give way and is refused. */
+	/** A less urgent queued request that was removed in favor of this one; its caller is to be refused. */
 	displaced?: AdmissionRequest;
 };
 
-/** Limits of a queue. */
 export type AdmissionLimits = {
 	maxRunning: number;
 	maxQueued: number;
-	/** Waiting for this long lifts a request by one class, ms. */
+	/** Time in the queue that raises a request by one priority level, ms. */
 	agingMs: number;
-	/** Service time assumed before any was seen, ms. */
+	/** Estimate of the service time until a request has finished, ms. */
 	initialServiceMs: number;
 };
 
-const serviceTimeWeight = 0.1;
+/** Weight of a new sample in the moving average of the service time. */
+const serviceTimeSmoothing = 0.1;
 const minRetryAfterMs = 100;
 
-/** The queue of one endpoint. */
 export class AdmissionQueue {
-	private waiting: AdmissionRequest[] = [];
+	private queued: AdmissionRequest[] = [];
 	private readonly running = new Map<string, number>();
 	private serviceMs: number;
 
@@ -64,41 +61,41 @@
 	}
 
 	get queuedCount(): number {
-		return this.waiting.length;
+		return this.queued.length;
 	}
 
-	/** Time until a request behind `ahead` others would start, ms. */
-	estimateWait(ahead: number): number {
+	/** Estimates the time until a request with `ahead` requests in front of it starts, ms. */
+	estimateWaitMs(ahead: number): number {
 		const free = this.limits.maxRunning - this.running.size;
 		return ahead < free ? 0 : (Math.max(1, ahead - free + 1) * this.serviceMs) / this.limits.maxRunning;
 	}
 
-	/** A request arrives; `isReady` tells whether its model can run now. */
-	offer(request: AdmissionRequest, now: number, isReady: boolean): AdmissionAnswer {
-		if (isReady && this.waiting.length === 0 && this.running.size < this.limits.maxRunning) {
+	/** Admits, queues or refuses an arriving request; `isReady` is whether its model can run now. */
+	offer(request: AdmissionRequest, now: number, isReady: boolean): AdmissionResult {
+		if (isReady && this.queued.length === 0 && this.running.size < this.limits.maxRunning) {
 			this.running.set(request.id, now);
 			return {decision: AdmissionDecision.Admitted, retryAfterMs: 0};
 		}
 
-		const ahead = this.waiting.filter(other => this.rank(other, now) <= this.rank(request, now)).length;
-		const wait = this.estimateWait(ahead);
-		if (now + wait > request.deadlineAt) {
-			return this.refuse(wait);
+		const ahead = this.queued.filter(other => this.computeRank(other, now) <= this.computeRank(request, now)).length;
+		const waitMs = this.estimateWaitMs(ahead);
+		if (now + waitMs > request.deadlineAt) {
+			return this.refuse(waitMs);
 		}
 
-		if (this.waiting.length < this.limits.maxQueued) {
-			this.waiting.push(request);
+		if (this.queued.length < this.limits.maxQueued) {
+			this.queued.push(request);
 			return {decision: AdmissionDecision.Queued, retryAfterMs: 0};
 		}
 
 		return this.displace(request, now);
 	}
 
-	/** Starts waiting requests for which there is room and whose model is ready. */
-	takeReady(now: number, isReady: (model: string | undefined) => boolean): AdmissionRequest[] {
+	/** Starts queued requests whose model is ready, up to `maxRunning`, and returns them. */
+	dequeueReady(now: number, isReady: (model: string | undefined) => boolean): AdmissionRequest[] {
 		const started: AdmissionRequest[] = [];
 		while (this.running.size < this.limits.maxRunning) {
-			const next = minBy(this.waiting.filter(request => isReady(request.model)), request => this.order(request, now));
+			const next = minBy(this.queued.filter(request => isReady(request.model)), request => this.computeOrder(request, now));
 			if (!next) {
 				break;
 			}
@@ -111,66 +108,66 @@
 		return started;
 	}
 
-	/** Takes out the waiting requests whose deadline has passed. */
-	takeExpired(now: number): AdmissionRequest[] {
-		const expired = this.waiting.filter(request => request.deadlineAt <= now);
-		this.waiting = this.waiting.filter(request => request.deadlineAt > now);
+	/** Removes and returns the queued requests whose deadline has passed. */
+	removeExpired(now: number): AdmissionRequest[] {
+		const expired = this.queued.filter(request => request.deadlineAt <= now);
+		this.queued = this.queued.filter(request => request.deadlineAt > now);
 		return expired;
 	}
 
-	/** Takes out a waiting request whose caller hung up; false when it wasn't waiting. */
+	/** Removes a queued request, e.g. after its caller disconnected; returns false when it wasn't queued. */
 	remove(id: string): boolean {
-		const before = this.waiting.length;
-		this.waiting = this.waiting.filter(request => request.id !== id);
-		return this.waiting.length < before;
+		const before = this.queued.length;
+		this.queued = this.queued.filter(request => request.id !== id);
+		return this.queued.length < before;
 	}
 
-	/** A running request has ended. */
+	/** Records the end of a running request and updates the estimated service time. */
 	finish(id: string, now: number): void {
 		const startedAt = this.running.get(id);
 		if (startedAt !== undefined) {
 			this.running.delete(id);
-			this.serviceMs += serviceTimeWeight * (now - startedAt - this.serviceMs);
+			this.serviceMs += serviceTimeSmoothing * (now - startedAt - this.serviceMs);
 		}
 	}
 
-	/** When the queue will have drained, for a refusal, ms. */
-	estimateRetryAfter(): number {
-		return Math.max(minRetryAfterMs, this.estimateWait(this.waiting.length));
+	/** Estimates the time until the queue has drained, for the `Retry-After` of a refusal, ms. */
+	estimateRetryAfterMs(): number {
+		return Math.max(minRetryAfterMs, this.estimateWaitMs(this.queued.length));
 	}
 
-	/** Models for which requests wait. */
+	/** Lists the models that queued requests require. */
 	listWaitingModels(): string[] {
-		return [...new Set(this.waiting.map(request => request.model).filter(model => model !== undefined))];
+		return [...new Set(this.queued.map(request => request.model).filter(model => model !== undefined))];
 	}
 
-	private refuse(wait: number): AdmissionAnswer {
-		return {decision: AdmissionDecision.Refused, retryAfterMs: Math.max(minRetryAfterMs, wait)};
+	private refuse(waitMs: number): AdmissionResult {
+		return {decision: AdmissionDecision.Refused, retryAfterMs: Math.max(minRetryAfterMs, waitMs)};
 	}
 
-	/** The queue is full: the least urgent gives way if it is less urgent than the newcomer. */
-	private displace(request: AdmissionRequest, now: number): AdmissionAnswer {
-		const least = minBy(this.waiting, other => -this.order(other, now));
-		if (!least || this.order(least, now) <= this.order(request, now)) {
-			return this.refuse(this.estimateWait(this.waiting.length));
+	/** Queues a request in a full queue by removing the least urgent one; refuses it if that one is at least as urgent. */
+	private displace(request: AdmissionRequest, now: number): AdmissionResult {
+		const least = minBy(this.queued, other => -this.computeOrder(other, now));
+		if (!least || this.computeOrder(least, now) <= this.computeOrder(request, now)) {
+			return this.refuse(this.estimateWaitMs(this.queued.length));
 		}
 
 		this.remove(least.id);
-		this.waiting.push(request);
+		this.queued.push(request);
 		return {decision: AdmissionDecision.Queued, retryAfterMs: 0, displaced: least};
 	}
 
-	/** Class after aging; lower is more urgent. */
-	private rank(request: AdmissionRequest, now: number): number {
-		const lifted = Math.floor((now - request.arrivedAt) / this.limits.agingMs);
-		return Math.max(0, prioritiesByUrgency.indexOf(request.priority) - lifted);
+	/** Returns the priority level after aging; lower is more urgent. */
+	private computeRank(request: AdmissionRequest, now: number): number {
+		const promotions = Math.floor((now - request.arrivedAt) / this.limits.agingMs);
+		return Math.max(0, prioritiesByUrgency.indexOf(request.priority) - promotions);
 	}
 
-	/** Class first, then deadline. */
-	private order(request: AdmissionRequest, now: number): number {
-		return (this.rank(request, now) * classSpan) + (request.deadlineAt - now);
+	/** Returns the sort key: priority level first, then deadline. */
+	private computeOrder(request: AdmissionRequest, now: number): number {
+		return (this.computeRank(request, now) * rankWeightMs) + (request.deadlineAt - now);
 	}
 }
 
-/** Larger than any deadline, ms. */
-const classSpan = 1e9;
+/** Weight of one priority level in the sort key; exceeds any remaining time, ms. */
+const rankWeightMs = 1e9;
--- a/packages/mastvalve-routing/src/backoff.ts
+++ b/packages/mastvalve-routing/src/backoff.ts
@@ -1,7 +1,7 @@
 /**
- * Backoff with full jitter, for callers' `Retry-After` and for our own retries.
+ * Exponential backoff with full jitter, for the `Retry-After` of responses and for retries of an entry.
  */
 
-/** Waits up to twice as long with each attempt, evenly spread, ms. */
-export const chooseBackoff = (attempt: number, baseMs: number, maxMs: number, random: () => number): number =>
+/** Returns a delay drawn uniformly from 0 to an upper bound that doubles with each attempt up to `maxMs`, ms. */
+export const computeBackoffMs = (attempt: number, baseMs: number, maxMs: number, random: () => number): number =>
 	random() * Math.min(maxMs, baseMs * (2 ** attempt));
--- a/packages/mastvalve-routing/src/candidate.ts
+++ b/packages/mastvalve-routing/src/candidate.ts
@@ -1,22 +1,22 @@
 /**
- * An endpoint as routing sees it.
+ * Input and signature of endpoint selection policies.
  */
 
-/** Everything that a choice may rest on; plain data. */
+/** State of an endpoint that a selection may depend on. */
 export type Candidate = {
 	endpointId: string;
 	failureDomain: string;
-	/** Whether it is to hold the model always; otherwise it may have to load it first. */
+	/** Whether the model is resident there; otherwise the endpoint may have to load it first. */
 	isResident: boolean;
-	/** Requests running and waiting there by its last report. */
+	/** Requests running and queued at the endpoint according to its last report. */
 	reportedLoad: number;
-	/** Requests that this entry has sent there since that report, or has in progress there. */
+	/** Requests that this entry has sent since that report, or has in flight there. */
 	ownInFlight: number;
-	/** Share of the prompt that its prefix cache is believed to hold, 0 to 1. */
+	/** Estimated share of the prompt in the endpoint's prefix cache, 0 to 1. */
 	prefixShare: number;
-	/** Whether it failed or refused lately. */
+	/** Whether it failed or refused a request recently. */
 	isSuspect: boolean;
 };
 
-/** A way to choose; undefined when there are no candidates. */
+/** Selection policy; returns undefined when there are no candidates. */
 export type ChooseCandidate = (candidates: readonly Candidate[], random: () => number) => Candidate | undefined;
--- a/packages/mastvalve-routing/src/index.ts
+++ b/packages/mastvalve-routing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Pure routing policy: choosing endpoints, admission, retries, prefix affinity.
+ * Pure routing policy: endpoint selection, admission control, retry budgets and prefix affinity.
  */
 
 export * from './admission-queue.js';
--- a/packages/mastvalve-routing/src/retry-budget.ts
+++ b/packages/mastvalve-routing/src/retry-budget.ts
@@ -1,26 +1,26 @@
 /**
- * Retries as a share of first tries, so that failures can't multiply load.
+ * Limits retries to a share of first attempts, so that failures can't multiply the load.
  */
 
-/** Retries that may be saved up while nothing fails. */
-const maxSaved = 10;
+/** Largest balance of unused retries, and the initial one. */
+const maxBalance = 10;
 
-/** One entry's budget. */
+/** Retry budget of one entry. */
 export class RetryBudget {
-	private saved = maxSaved;
+	private balance = maxBalance;
 
-	/** `share` of first tries that may be retried, 0 to 1. */
-	constructor(private readonly share: number) {}
+	/** `retryShare` is the number of retries credited per first attempt, 0 to 1. */
+	constructor(private readonly retryShare: number) {}
 
-	/** Counts a first try. */
-	recordFirstTry(): void {
-		this.saved = Math.min(maxSaved, this.saved + this.share);
+	/** Credits a first attempt. */
+	recordFirstAttempt(): void {
+		this.balance = Math.min(maxBalance, this.balance + this.retryShare);
 	}
 
-	/** Takes a retry out; false when none is left. */
+	/** Consumes a retry; returns false when the budget is exhausted. */
 	takeRetry(): boolean {
-		const isAllowed = this.saved >= 1;
-		this.saved -= isAllowed ? 1 : 0;
+		const isAllowed = this.balance >= 1;
+		this.balance -= isAllowed ? 1 : 0;
 		return isAllowed;
 	}
 }
--- a/packages/mastvalve-sidecar/src/server/endpoint-gate.ts
+++ b/packages/mastvalve-sidecar/src/server/endpoint-gate.ts
@@ -81,10 +81,10 @@
 	/** Starts and gives up what can be; called whenever time, room or readiness changed. */
 	advance(): void {
 		const now = this.options.clock.now();
-		this.queue.takeExpired(now).forEach(request => {
+		this.queue.removeExpired(now).forEach(request => {
 			this.settle(request.id, err(this.createRefusal('Its deadline passed while it waited.')));
 		});
-		this.queue.takeReady(now, this.options.isReady).forEach(request => {
+		this.queue.dequeueReady(now, this.options.isReady).forEach(request => {
 			this.settle(request.id, ok(true));
 		});
 		if (this.queue.runningCount === 0 && this.queue.queuedCount === 0) {
@@ -130,7 +130,7 @@
 		}
 	}
 
-	private createRefusal(message: string, retryAfterMs = this.queue.estimateRetryAfter()): RefusedError {
+	private createRefusal(message: string, retryAfterMs = this.queue.estimateRetryAfterMs()): RefusedError {
 		return new RefusedError(message, retryAfterMs / millisPerSecond);
 	}
 }
