--- a/packages/mastvalve-gateway/__tests__/keys-and-limits.feature
+++ b/packages/mastvalve-gateway/__tests__/keys-and-limits.feature
@@ -3,18 +3,18 @@
   Background:
     Given an entry where the workspace "w1" holds the key "secret-1", and an endpoint
 
-  Scenario: The endpoint gets the workspace of the key, and neither the key nor what the caller says of a workspace
-    When a caller asks with the key "secret-1" and names the workspace "w2"
-    Then it gets status 200
-    And the endpoint has seen the workspace "w1" once, and no "secret-1"
+  Scenario: The endpoint receives the workspace of the key, but neither the key nor a workspace header of the caller
+    When a caller sends a request with the key "secret-1" and a header for the workspace "w2"
+    Then the answer has status 200
+    And the endpoint received the workspace "w1" once, and no "secret-1"
 
-  Scenario Outline: Without a key that a workspace holds nothing is run
-    When a caller asks with the field "<field>"
-    Then it gets status 401
-    And the endpoint got nothing
+  Scenario Outline: A request without a key of a workspace is not run
+    When a caller sends a request with the authorization header "<header>"
+    Then the answer has status 401
+    And the endpoint received no request
 
     Examples:
-      | field                         |
+      | header                        |
       |                               |
       | Bearer secret-2               |
       | Bearer                        |
@@ -23,69 +23,69 @@
       | Bearer secret-1 secret-1      |
       | Bearer secret-1, Bearer other |
 
-  Scenario: The scheme is taken in any case
-    When a caller asks with the field "bEARER   secret-1"
-    Then it gets status 200
-
-  Scenario: Of two keys none is believed
-    When a caller asks with the keys "secret-1" and "secret-1" in two fields
-    Then it gets status 401
-    And the endpoint got nothing
-
-  Scenario: An anonymous route is open to anybody, and shows no key
-    When a caller asks on an anonymous route with the key "secret-2"
-    Then it gets status 200
-    And the endpoint has seen no workspace, and no "secret-2"
-
-  Scenario: A key that was taken away while its request waited is handed to nobody
-    When a caller waits for a model with the key "secret-1", the key is taken away, and the model comes
-    Then it gets status 401
-    And the endpoint got nothing
-
-  Scenario: An entry that control has not been sure of for too long serves no key, and says when to come back
-    Given control was sure of the entry's keys 4600 ms ago
-    When a caller asks with the key "secret-1"
-    Then it gets status 503 and is told when to come back
-    And the endpoint got nothing
-
-  Scenario: An entry that is out of touch goes on with anonymous routes
-    Given control was sure of the entry's keys 4600 ms ago
-    When a caller asks on an anonymous route with the key "secret-1"
-    Then it gets status 200
-
-  Scenario: An entry that was suspended believes in no key until it has heard anew
+  Scenario: The authorization scheme is case-insensitive
+    When a caller sends a request with the authorization header "bEARER   secret-1"
+    Then the answer has status 200
+
+  Scenario: A request with two keys is not authorized
+    When a caller sends a request with the keys "secret-1" and "secret-1" in two authorization headers
+    Then the answer has status 401
+    And the endpoint received no request
+
+  Scenario: An anonymous route requires no key, and relays none
+    When a caller sends a request on an anonymous route with the key "secret-2"
+    Then the answer has status 200
+    And the endpoint received no workspace, and no "secret-2"
+
+  Scenario: A request whose key is revoked while it waits is not run
+    When a request with the key "secret-1" waits for a model, the key is revoked, and the model is loaded
+    Then the answer has status 401
+    And the endpoint received no request
+
+  Scenario: An entry whose keys control has not confirmed for too long refuses keys, with a Retry-After
+    Given control confirmed the entry's keys 4600 ms ago
+    When a caller sends a request with the key "secret-1"
+    Then the answer has status 503 and a Retry-After
+    And the endpoint received no request
+
+  Scenario: An entry that is disconnected from control continues to serve anonymous routes
+    Given control confirmed the entry's keys 4600 ms ago
+    When a caller sends a request on an anonymous route with the key "secret-1"
+    Then the answer has status 200
+
+  Scenario: An entry that was suspended accepts no key until control has confirmed the keys again
     Given the entry was suspended for 5000 ms
-    When a caller asks with the key "secret-1"
-    Then it gets status 503 and is told when to come back
-    And the endpoint got nothing
+    When a caller sends a request with the key "secret-1"
+    Then the answer has status 503 and a Retry-After
+    And the endpoint received no request
 
-  Scenario: A request that comes after a suspension waits for the next word of control
+  Scenario: A request that arrives after a suspension waits for the next answer of control
     Given the entry was suspended for 5000 ms
-    When a caller asks with the key "secret-1" and control answers 100 ms later
-    Then it gets status 200
+    When a caller sends a request with the key "secret-1" and control answers 100 ms later
+    Then the answer has status 200
 
-  Scenario: What was asked before a suspension proves nothing after it
-    Given the entry was suspended for 5000 ms while its question was on the way
-    When a caller asks with the key "secret-1"
-    Then it gets status 503 and is told when to come back
+  Scenario: The answer to a query from before a suspension confirms nothing after it
+    Given the entry was suspended for 5000 ms while its query was in flight
+    When a caller sends a request with the key "secret-1"
+    Then the answer has status 503 and a Retry-After
 
-  Scenario: A workspace that has reached its limit is refused at once, with the time until there is room
+  Scenario: A request of a workspace that has reached its limit is refused at once, with the time until the limit allows it
     Given the leader allows a request of "w1" in 700 ms
-    When a caller asks with the key "secret-1"
-    Then it gets status 429 and is told to come back in 0.7 s
-    And the endpoint got nothing
-
-  Scenario: What was claimed for a request that is not run is given back
-    Given the endpoint refuses everything as not run
-    When a caller asks with the key "secret-1"
-    Then it gets status 503 and is told when to come back
-    And the leader hears with the next call that the claim is given back
-
-  Scenario: While no leader answers, a workspace goes on at the pace that it had
-    When a caller asks 6 times with the key "secret-1"
-    And the leader answers no more, and the caller asks 30 times
-    Then some of them are served, and no more than the pace allows
-
-  Scenario: Neither logs nor answers show a key
-    When a caller asks with the key "secret-1" and with the unknown key "secret-2"
-    Then no log line and no answer holds "secret"
+    When a caller sends a request with the key "secret-1"
+    Then the answer has status 429 and a Retry-After of 0.7 s
+    And the endpoint received no request
+
+  Scenario: The claim of a request that is not run is refunded
+    Given the endpoint refuses all requests as not run
+    When a caller sends a request with the key "secret-1"
+    Then the answer has status 503 and a Retry-After
+    And the next call to the leader refunds the claim
+
+  Scenario: While no leader answers, a workspace continues at its recent rate
+    When a caller sends 6 requests with the key "secret-1"
+    And the leader stops answering, and the caller sends 30 requests
+    Then some of them are served, and no more than the recent rate allows
+
+  Scenario: Neither logs nor answers contain a key
+    When a caller sends a request with the key "secret-1" and one with the unknown key "secret-2"
+    Then no log line and no answer contains "secret"
