--- a/packages/mastvalve-gateway/src/access/access-checker.ts
+++ b/packages/mastvalve-gateway/src/access/access-checker.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry knows of who may ask: the keys in force, and for how long it may still believe them.
+ * Checks the access of requests by the keys in force, and tracks how long this entry may rely on them.
  */
 
 import {
@@ -9,20 +9,18 @@
 import {SuspensionWatch, type Clock} from 'mastvalve-utils';
 import type {FleetView} from '../fleet/fleet-view.js';
 
-/** What it is made from. */
 export type AccessCheckerOptions = {
 	view: FleetView;
 	clock: Clock;
-	/** Longest time for which a key may be served after it was taken away, ms; undefined when there is no such bound. */
+	/** Longest time for which a key may be accepted after its revocation, ms; undefined if unbounded. */
 	keyRevocationMs: number | undefined;
-	/** Called when the evidence has ended because time went by that nobody counted. */
+	/** Called when the freshness of the keys was invalidated because time may have passed that the monotonic clock did not count. */
 	onSuspended: () => void;
 };
 
-/** How long requests wait for new evidence after a suspension, ms: the follower may have to try another control instance, at which it gives up after 0.8 s without a byte. */
+/** Longest wait of a request for a renewed confirmation after a suspension, ms. The follower may have to try another control instance, which it gives up after 0.8 s without a byte. */
 export const renewalWaitMs = 600;
 
-/** The checker. */
 export class AccessChecker {
 	private readonly freshness: KeyFreshness;
 	private readonly suspension: SuspensionWatch;
@@ -32,7 +30,7 @@
 		this.suspension = new SuspensionWatch(options.clock);
 	}
 
-	/** Judges a request at this moment. */
+	/** Decides on a request by the current keys. */
 	authorize(key: PresentedKey, route: Pick<Route, 'isAnonymous'>): AccessDecision {
 		const workspaces = this.options.view.configuration?.workspaces;
 		return authorizeRequest({
@@ -40,22 +38,22 @@
 		});
 	}
 
-	/** Whether requests that need a key can be served; true where none is asked for. */
+	/** Whether requests that need a key can be decided; true if the configuration requires none. */
 	get canAuthorize(): boolean {
 		return this.options.view.configuration?.workspaces === undefined || this.hasFreshKeys;
 	}
 
-	/** Whether the evidence was ended by a suspension and is expected back. */
+	/** Whether a suspension invalidated the freshness of the keys, and the next answer is expected to renew it. */
 	get isAwaitingRenewal(): boolean {
 		return !this.canAuthorize && this.freshness.isAwaitingRenewal(this.options.clock.now(), renewalWaitMs);
 	}
 
-	/** Age of the evidence, ms. */
+	/** Time since the keys were last confirmed, ms; infinite without a valid confirmation. */
 	get confirmationAgeMs(): number {
 		return this.freshness.computeAgeMs(this.options.clock.now());
 	}
 
-	/** Control answered a question that was asked at `askedAt`. */
+	/** Records an answer of control to a request sent at `askedAt`; it is complete up to `sureAfterMs` later. */
 	recordAnswer(askedAt: number, sureAfterMs: number): void {
 		this.invalidateIfSuspended();
 		this.freshness.recordAnswer(askedAt, sureAfterMs);
@@ -74,5 +72,5 @@
 	}
 }
 
-/** Whether a request may go on. */
+/** Whether a request may proceed. */
 export const isGranted = (access: AccessDecision): access is Extract<AccessDecision, {kind: AccessKind.Granted}> => access.kind === AccessKind.Granted;
--- a/packages/mastvalve-gateway/src/access/admit-caller.ts
+++ b/packages/mastvalve-gateway/src/access/admit-caller.ts
@@ -1,6 +1,6 @@
 /**
- * Lets a caller in, or refuses it before its request waits, is routed or takes a retry: its key first, then the limit of its
- * workspace. What is refused here was not run.
+ * Admits a request by its key and then by the limit of its workspace, before it waits, is routed or uses a retry. A request
+ * refused here was not run.
  */
 
 import {
@@ -12,23 +12,22 @@
 import type {GatewayCore} from '../server/gateway-core.js';
 import {isGranted} from './access-checker.js';
 
-/** When to ask again at an entry that may not believe its keys, s; another entry is likely to be sure at once. */
+/** Retry-After of an entry with stale keys, s; another entry is likely to have fresh ones at once. */
 const staleKeysRetrySeconds = 0.2;
 const msPerSecond = 1000;
 
-/** A caller that was let in. */
+/** An admitted request. */
 export type Admission = {
 	key: PresentedKey;
-	/** Undefined for somebody without a key, where none is needed. */
+	/** Undefined for an anonymous request. */
 	workspace: Workspace | undefined;
-	/** What was claimed from the workspace's limit. */
+	/** Cost claimed from the workspace's limit, in its unit. */
 	cost: number;
 };
 
-/** What the decision rests on. */
 export type AdmissionInput = {requestId: string; route: Route; caller: CallerHeaders; key: PresentedKey};
 
-/** What a caller is told whose key does not let it in. */
+/** Answers to requests whose key was not accepted. */
 export const keyRefusals: Record<AccessKind.UnknownKey | AccessKind.StaleKeys, ProblemAnswer> = {
 	[AccessKind.UnknownKey]: {status: 401, code: 'key-unknown', message: 'No workspace holds the key of this request. Nothing was run.'},
 	[AccessKind.StaleKeys]: {
@@ -36,7 +35,7 @@
 	},
 };
 
-/** Lets a caller in; undefined when it was refused. */
+/** Admits a request; replies and returns undefined if it is refused. */
 export const admitCaller = async (core: GatewayCore, {requestId, route, caller, key}: AdmissionInput, reply: Reply): Promise<Admission | undefined> => {
 	const access = core.access.authorize(key, route);
 	if (!isGranted(access)) {
--- a/packages/mastvalve-gateway/src/fleet/active-configuration.ts
+++ b/packages/mastvalve-gateway/src/fleet/active-configuration.ts
@@ -1,8 +1,8 @@
 /**
- * The configuration that an entry serves by, as it gathers it from changes.
+ * Assembles the configuration that an entry serves from pages of changes.
  *
- * A version comes in force as a whole once all its changes are here, however many parts they took; until then the one
- * before holds.
+ * A version takes effect atomically once all its changes are received, over any number of pages; until then the previous
+ * version stays in force.
  */
 
 import {
@@ -12,30 +12,30 @@
 	ConfigurationChangeKind, keyOfRoute, keyOfWorkspace, RouteTable, type ConfigurationChange, type ConfigurationFrame, type FeedPage, type Route,
 } from 'mastvalve-fleet';
 
-/** A configuration in force; never changes. */
+/** A configuration in force. Immutable. */
 export type ActiveConfiguration = ConfigurationFrame & {
 	version: number;
 	routes: RouteTable;
-	/** Undefined where no keys are asked for. */
+	/** Undefined if the configuration requires no keys. */
 	workspaces: WorkspaceTable | undefined;
-	/** Urgency of a request by those of its workspace and its route. */
+	/** Ranks a request by the priorities of its workspace and its route. */
 	rankPriority: PriorityRank;
 };
 
-/** Bounds and services before the first frame has come. */
+/** Limits and services until the first frame is received. */
 const initialFrame: ConfigurationFrame = {
 	needsKeys: false, services: [], limits: {
 		maxHeaderBytes: 0, maxBodyBytes: 0, headerTimeoutMs: 0, idleTimeoutMs: 0,
 	},
 };
 
-/** What was gathered so far. */
+/** Accumulates the changes received so far. */
 export class ConfigurationAssembler {
 	private readonly routes = new Map<string, Route>();
 	private readonly workspaces = new Map<string, Workspace>();
 	private frame = initialFrame;
 
-	/** Takes changes in; the result is the newest version that they complete, if any. */
+	/** Applies a page of changes. Returns the newest version that it completes, if any. */
 	applyPage({isWhole, changes}: FeedPage<ConfigurationChange>): ActiveConfiguration | undefined {
 		if (isWhole) {
 			this.routes.clear();
--- a/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
+++ b/packages/mastvalve-gateway/src/fleet/demand-reporter.ts
@@ -1,5 +1,5 @@
 /**
- * Tells control's leader what callers ask for: once in a while, and at once when requests begin to wait.
+ * Reports the demand of callers to control's leader: periodically, and immediately when requests begin to wait.
  */
 
 import type {PeerClient} from 'mastvalve-cluster';
@@ -7,22 +7,21 @@
 import {waitFor} from 'mastvalve-utils';
 import type {ModelDemand} from '../routing/model-demand.js';
 
-/** Time between reports, ms. */
 const reportIntervalMs = 1000;
-/** Pause before a report that did not arrive is followed by the next, ms. */
+/** Delay after a failed report, ms. */
 const retryDelayMs = 150;
-/** Longest time without a byte, ms. */
-const silenceMs = 500;
+/** Longest time without a byte before a report fails, ms. */
+const idleTimeoutMs = 500;
 
-/** The reporter. */
 export class DemandReporter {
-	/** Entries that report to the leader, as last heard; undefined before the first answer. */
+	/** Number of entries that report to the leader, from its latest response; undefined before the first one. */
 	entryCount: number | undefined;
+	/** Ends the pause after a received report. */
 	private pauseController: AbortController = new AbortController();
 
 	constructor(private readonly client: PeerClient, private readonly readLeader: () => string | undefined) {}
 
-	/** Reports now. */
+	/** Sends the next report without waiting for the interval to end. */
 	reportNow(): void {
 		this.pauseController.abort();
 	}
@@ -31,7 +30,7 @@
 	async run(demand: ModelDemand, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			this.pauseController = new AbortController();
-			// One report after the other; what comes meanwhile goes into the next.
+			// Reports are sequential; demand that arises meanwhile is part of the next one.
 			// eslint-disable-next-line no-await-in-loop
 			const isReceived = await this.report(demand, signal);
 			// eslint-disable-next-line no-await-in-loop
@@ -39,7 +38,7 @@
 		}
 	}
 
-	/** Whether the leader heard the report. */
+	/** Sends a report; returns whether the leader received it. */
 	private async report(demand: ModelDemand, signal: AbortSignal): Promise<boolean> {
 		const address = this.readLeader();
 		if (address === undefined) {
@@ -47,7 +46,7 @@
 		}
 
 		const answer = await this.client.call<DemandResponse>({
-			address, path: '/demand', body: demand.takeReport(), idleTimeoutMs: silenceMs, signal,
+			address, path: '/demand', body: demand.takeReport(), idleTimeoutMs, signal,
 		});
 		this.entryCount = answer.isOk() ? answer.value.entries : this.entryCount;
 		return answer.isOk();
--- a/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-follower.ts
@@ -1,8 +1,8 @@
 /**
- * Follows control: asks one instance at a time for changes, the one in the same failure domain first, and goes on to
- * the next when it does not answer or can't be sure of what it knows. It goes back to a nearer one as soon as that answers:
- * what an entry gets of all endpoints is most of the bytes between failure domains, and the followers of one instance that
- * everybody knew first are a load that the others don't share.
+ * Follows control: polls one instance at a time for changes, preferring the same failure domain, and falls back to the next
+ * when it does not answer or can't confirm that its state is the newest. It returns to a nearer instance as soon as that one
+ * answers, since updates of endpoints are most of the traffic between failure domains, and since all entries would otherwise
+ * stay with the instance that they found first, which would carry the load alone.
  */
 
 import type {PeerClient} from 'mastvalve-cluster';
@@ -12,50 +12,49 @@
 import type {FleetView} from './fleet-view.js';
 import {SourceSelector} from './source-selector.js';
 
-/** What a follower is made from. */
 export type FleetFollowerOptions = {
 	client: PeerClient;
 	view: FleetView;
-	/** Hears up to which moment control was sure of what it answered. */
+	/** Receives the time up to which control confirmed that its answer was complete. */
 	access: Pick<AccessChecker, 'recordAnswer' | 'canAuthorize'>;
-	/** Control instances to ask besides those that an answer has named. */
+	/** Returns addresses of control instances to poll besides those named in an answer. */
 	listSources: () => string[];
-	/** Lower is nearer. */
+	/** Returns the distance of an instance; lower is nearer. */
 	distanceTo: (address: string) => number;
-	/** Monotonic, ms. */
+	/** Monotonic clock, ms. */
 	now: () => number;
 	onEvent: (kind: string, detail: string) => void;
-	/** Called when another leader is known than before. */
+	/** Called when the known leader has changed. */
 	onLeaderChange?: () => void;
 };
 
-/** How long control may hold a question until something changes, ms. */
+/** Longest time for which control may hold a request until a change, ms. */
 const longPollMs = 400;
-/** An instance with which no byte moves for this long is out of reach, ms. The sum with a second try is below the bound for configurations. */
-const silenceMs = 800;
+/** Time without a byte after which an instance counts as unreachable, ms. Together with a second attempt it stays below the bound for configurations. */
+const idleTimeoutMs = 800;
+/** Delay when no instance is known or all have failed, ms. */
 const noSourceDelayMs = 60;
 
-/** The follower. */
 export class FleetFollower {
-	/** Address of control's leader, as last heard. */
+	/** Address of control's leader, from the latest answer. */
 	leader: string | undefined;
-	/** Addresses of all control instances, as last heard. */
+	/** Addresses of all control instances, from the latest answer. */
 	private members: string[] = [];
 	private readonly sources: SourceSelector;
 	private isConnected = false;
-	/** Aborts the question that is on its way. */
+	/** Aborts the request in flight. */
 	private requestController = new AbortController();
 
 	constructor(private readonly options: FleetFollowerOptions) {
 		this.sources = new SourceSelector(options);
 	}
 
-	/** Control instances as last heard, the nearest first. */
+	/** Returns the control instances of the latest answer, the nearest first. */
 	listMembers(): string[] {
 		return this.members.toSorted((a, b) => this.options.distanceTo(a) - this.options.distanceTo(b));
 	}
 
-	/** Asks anew at once: what the question on its way brings may be older than it seems. */
+	/** Aborts the request in flight and sends a new one, since the pending answer may be older than the monotonic clock indicates. */
 	restartRequest(): void {
 		this.requestController.abort();
 	}
@@ -70,7 +69,7 @@
 				// eslint-disable-next-line no-await-in-loop
 				await waitFor(noSourceDelayMs, signal);
 			} else {
-				// One question after the other.
+				// One request at a time.
 				// eslint-disable-next-line no-await-in-loop
 				await this.request(address, signal);
 			}
@@ -89,7 +88,7 @@
 		this.requestController = requestController;
 		const askedAt = now();
 		const answer = await client.call<FollowResponse>({
-			address, path: '/follow', idleTimeoutMs: silenceMs, signal: AbortSignal.any([signal, requestController.signal]), body: {place: view.cursor, waitMs: longPollMs, mustBeNewest},
+			address, path: '/follow', idleTimeoutMs, signal: AbortSignal.any([signal, requestController.signal]), body: {place: view.cursor, waitMs: longPollMs, mustBeNewest},
 		});
 		if (answer.isErr() && requestController.signal.aborted) {
 			return;
@@ -126,7 +125,7 @@
 
 		if (!this.isConnected || hasNewSource) {
 			this.isConnected = true;
-			onEvent('control.regained', `follows ${address} at revision ${view.revision}`);
+			onEvent('control.regained', `following ${address} at revision ${view.revision}`);
 		}
 	}
 }
--- a/packages/mastvalve-gateway/src/fleet/fleet-view.ts
+++ b/packages/mastvalve-gateway/src/fleet/fleet-view.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry knows of the fleet. Without news from control it keeps what it has.
+ * An entry's view of the fleet. It keeps the latest state while control is unreachable.
  */
 
 import {
@@ -7,7 +7,7 @@
 } from 'mastvalve-fleet';
 import {ConfigurationAssembler, type ActiveConfiguration} from './active-configuration.js';
 
-/** Endpoints that take new requests, by service. */
+/** Groups the endpoints that accept new requests by service. */
 const groupAvailableByService = (endpoints: readonly FleetEndpoint[]): Map<string, FleetEndpoint[]> =>
 	endpoints
 		.filter(endpoint => takesRequests(endpoint))
@@ -17,31 +17,30 @@
 			return groups.set(endpoint.service, group);
 		}, new Map<string, FleetEndpoint[]>());
 
-/** The view. */
 export class FleetView {
-	/** Revision of the state of which the last part was taken; -1 before the first. */
+	/** Revision of the state that the latest update was read from; -1 before the first one. */
 	revision = -1;
 	configuration: ActiveConfiguration | undefined;
-	/** Whether the view was the newest at some moment since the start. */
+	/** Whether the view has been up to date at some time since the start. */
 	isSynced = false;
-	/** How far the changes are known. */
+	/** Position up to which changes have been received. */
 	cursor: FleetCursor = {};
-	/** Whether all endpoints of some moment are known, and not just the first part of them. */
+	/** Whether all endpoints as of some time are known, rather than only the first pages of them. */
 	hasAllEndpoints = false;
 	private readonly assembler = new ConfigurationAssembler();
 	private readonly endpoints = new Map<string, FleetEndpoint>();
-	/** When this entry learned that a request is quarantined, by fingerprint; monotonic ms. */
+	/** When this entry was notified that a request is quarantined, by fingerprint; monotonic ms. */
 	private readonly quarantineTimes = new Map<string, number>();
 	private availableByService = new Map<string, FleetEndpoint[]>();
-	/** When loads are expected to end, by endpoint; monotonic ms. */
+	/** Models that are being loaded, with the expected end, by endpoint; monotonic ms. */
 	private readonly expectedLoads = new Map<string, {model: string; at: number}>();
 	private readonly listeners = new Set<() => void>();
 
 	constructor(private readonly now: () => number) {}
 
 	/**
-	 * Takes in what follows the view's place. `isNewest` says that it was taken from the newest state; the view is synced
-	 * once it has all of one such.
+	 * Applies an update that follows the view's cursor. `isNewest` is whether it was read from the newest state; the view is
+	 * synced once it has received the last page of such a state.
 	 */
 	apply({revision, endpoints, configuration, quarantine}: FleetUpdate, isNewest = false): void {
 		const hasChanges = [endpoints, configuration, quarantine].some(part => part.isWhole || part.changes.length > 0);
@@ -59,12 +58,12 @@
 		}
 	}
 
-	/** Endpoints of a service that take new requests. */
+	/** Returns the endpoints of a service that accept new requests. */
 	listEndpoints(service: string): FleetEndpoint[] {
 		return this.availableByService.get(service) ?? [];
 	}
 
-	/** When a model is expected at some endpoint of a service; monotonic ms. Undefined when no load is under way. */
+	/** Returns when a model is first expected to be loaded at an endpoint of a service, monotonic ms; undefined if none loads it. */
 	findModelReadyAt(service: string, model: string): number | undefined {
 		const readyTimes = this.listEndpoints(service)
 			.flatMap(({id}) => this.expectedLoads.get(id) ?? [])
@@ -77,23 +76,23 @@
 		return this.endpoints.get(id);
 	}
 
-	/** Endpoints that are not gone. */
+	/** Whether an endpoint is known and not gone. */
 	hasEndpoint(id: string): boolean {
 		return this.endpoints.has(id);
 	}
 
-	/** Whether an endpoint takes new requests as far as control knows. */
+	/** Whether an endpoint accepts new requests, according to control. */
 	isAvailable(id: string): boolean {
 		const endpoint = this.endpoints.get(id);
 		return endpoint !== undefined && takesRequests(endpoint);
 	}
 
-	/** When this entry learned that a request is quarantined; monotonic ms. Undefined when it isn't. */
+	/** Returns when this entry was notified that a request is quarantined, monotonic ms; undefined if it isn't. */
 	findQuarantinedAt(fingerprint: string): number | undefined {
 		return this.quarantineTimes.get(fingerprint);
 	}
 
-	/** Calls back on news until the returned function is called. */
+	/** Calls a listener after each change until the returned function is called. */
 	subscribe(listener: () => void): () => void {
 		this.listeners.add(listener);
 		return () => {
--- a/packages/mastvalve-gateway/src/fleet/source-selector.ts
+++ b/packages/mastvalve-gateway/src/fleet/source-selector.ts
@@ -1,32 +1,30 @@
 /**
- * Which control instance an entry asks for changes: the one that answered last, unless a nearer one is known that has not
- * failed lately. A plain piece of state: no clock, no sockets.
+ * Selects the control instance that an entry polls for changes: the one that answered last, unless there is a nearer one
+ * without a recent failure. Deterministic; it reads the time from its options and does no I/O.
  */
 
-/** What the choice rests on. */
 export type SourceSelectorOptions = {
-	/** Lower is nearer. */
+	/** Returns the distance of an instance; lower is nearer. */
 	distanceTo: (address: string) => number;
-	/** Monotonic, ms. */
+	/** Monotonic clock, ms. */
 	now: () => number;
 };
 
 /**
- * A nearer instance that has failed is tried again after this, ms. One that says nothing costs 0.8 s without news, so it may
- * not come more often than disturbances do.
+ * Time for which a nearer instance is avoided after a failure, ms. Polling an unresponsive instance costs 0.8 s without
+ * updates, so it must not occur more often than failures do.
  */
 const avoidanceMs = 10_000;
 
-/** The choice. */
 export class SourceSelector {
-	/** Who answered last; undefined when that one has failed since. */
+	/** The instance that answered last; undefined if it has failed since. */
 	private current: string | undefined;
-	/** Until when instances that have failed are avoided, ms. */
+	/** Until when failed instances are avoided, by address, ms. */
 	private readonly avoidedUntil = new Map<string, number>();
 
 	constructor(private readonly options: SourceSelectorOptions) {}
 
-	/** Whom to ask next; undefined when nobody is known to answer. */
+	/** Returns the instance to poll next; undefined if none is known to answer. */
 	select(members: readonly string[]): string | undefined {
 		const {current} = this;
 		if (current === undefined) {
@@ -38,7 +36,7 @@
 		return nearer ?? current;
 	}
 
-	/** An instance answered; whether it is another one than before. */
+	/** Records that an instance answered; returns whether it differs from the previous one. */
 	recordAnswer(address: string): boolean {
 		const isNew = this.current !== address;
 		this.current = address;
@@ -46,7 +44,7 @@
 		return isNew;
 	}
 
-	/** An instance failed; whether that leaves nobody who is known to answer. */
+	/** Records that an instance failed; returns whether no instance is known to answer any more. */
 	recordFailure(address: string): boolean {
 		this.avoidedUntil.set(address, this.options.now() + avoidanceMs);
 		const isLost = this.current === undefined || this.current === address;
--- a/packages/mastvalve-gateway/src/quarantine/crash-detector.ts
+++ b/packages/mastvalve-gateway/src/quarantine/crash-detector.ts
@@ -1,42 +1,40 @@
 /**
- * Tells endpoints that crashed from connections that broke, and collects what each of them was running.
+ * Distinguishes crashed endpoints from broken connections, and collects the requests that each crashed endpoint was running.
  *
- * A broken connection says little: it may have been reset, or its answer spoilt, while the endpoint goes on. That the
- * endpoint has crashed is shown by nobody listening at its address any more, or by control, which learns of the next one there.
+ * A broken connection is weak evidence: it may have been reset, or its answer corrupted, while the endpoint keeps running. A
+ * crash is confirmed when no process listens at the address any more, or by control, which detects the next incarnation there.
  */
 
 import type {CrashReport, FleetEndpoint} from 'mastvalve-fleet';
 import {BoundedMap} from 'mastvalve-utils';
 import {ListenerState} from './probe-listener.js';
 
-/** What the watch needs. */
 export type CrashDetectorOptions = {
-	/** Monotonic, ms. */
+	/** Monotonic clock, ms. */
 	now: () => number;
 	probe: (address: string) => Promise<ListenerState>;
-	/** Whether control still counts an endpoint among those that live. */
+	/** Whether control still lists an endpoint as alive. */
 	isAlive: (endpointId: string) => boolean;
-	/** Whether a request with this fingerprint was answered whole lately, so that it can't be what ends endpoints. */
+	/** Whether a request with this fingerprint was recently answered completely, which rules it out as the cause of crashes. */
 	hasSucceededRecently: (fingerprint: string) => boolean;
 	onCrash: (report: CrashReport) => void;
 };
 
-/** All connections to an endpoint that crashes break within a few ms; its requests are told together, ms. */
+/** Time for which the requests of one crash are collected into one report, ms: all connections to a crashing endpoint break within a few ms. */
 const collectionWindowMs = 15;
-/** An endpoint whose end control has not noted by then did not end when the connections broke, ms: it misses a heartbeat or two, or another one starts there after some seconds. */
+/** Time after which an endpoint that control still lists did not crash when its connections broke, ms: a crashed one misses a heartbeat or two, or its next incarnation starts after some seconds. */
 const undecidedTtlMs = 15_000;
-/** Endpoints whose connections broke lately. */
+/** Maximum number of endpoints with recently broken connections. */
 const maxUndecided = 256;
 
 type BrokenEndpoint = {endpoint: FleetEndpoint; fingerprints: Set<string>; isCrashed: boolean; isCollecting: boolean; brokenAt: number};
 
-/** The watch. */
 export class CrashDetector {
 	private readonly broken = new BoundedMap<string, BrokenEndpoint>(maxUndecided);
 
 	constructor(private readonly options: CrashDetectorOptions) {}
 
-	/** A request broke off at an endpoint, and not because its caller left. */
+	/** Records that the connection of a request to an endpoint broke for a reason other than the caller's disconnect. */
 	recordBrokenConnection(endpoint: FleetEndpoint, fingerprint: string): void {
 		if (this.options.hasSucceededRecently(fingerprint)) {
 			return;
@@ -52,7 +50,7 @@
 		}
 	}
 
-	/** Looks at what control says of endpoints that were not decided on. */
+	/** Decides pending endpoints by the state that control reports. */
 	reviewUndecided(): void {
 		const {now, isAlive} = this.options;
 		this.broken.list().forEach(([id, broken]) => {
--- a/packages/mastvalve-gateway/src/quarantine/crash-reporter.ts
+++ b/packages/mastvalve-gateway/src/quarantine/crash-reporter.ts
@@ -1,35 +1,33 @@
 /**
- * Tells control of crashes until it has them in its log: what is lost here lets a request end more endpoints.
+ * Reports crashes to control until they are committed to its log: a lost report allows a request to crash more endpoints.
  */
 
 import type {PeerClient} from 'mastvalve-cluster';
 import type {CrashReport} from 'mastvalve-fleet';
 import {waitFor} from 'mastvalve-utils';
 
-/** What it is made from. */
 export type CrashReporterOptions = {
 	client: PeerClient;
-	/** Control instances that take reports, the best one first. */
+	/** Returns the control instances that accept reports, in order of preference. */
 	listTargets: () => string[];
 };
 
-/** Longest time without a byte, ms. */
-const silenceMs = 500;
-/** Pause before the next control instance is tried, ms. */
+/** Longest time without a byte before a report fails, ms. */
+const idleTimeoutMs = 500;
+/** Delay before the next control instance is tried, ms. */
 const retryDelayMs = 100;
-/** Time after which a reporter without reports looks again by itself, ms. */
-const idleTimeoutMs = 60_000;
-/** Reports that wait while control is away; the oldest give way. */
+/** Interval at which a reporter without pending reports checks again without being notified, ms. */
+const recheckIntervalMs = 60_000;
+/** Maximum number of pending reports while control is unreachable; the oldest are dropped. */
 const maxPending = 1000;
 
-/** The reporter. */
 export class CrashReporter {
 	private pending: CrashReport[] = [];
 	private idleController = new AbortController();
 
 	constructor(private readonly options: CrashReporterOptions) {}
 
-	/** Reports a crash. */
+	/** Queues a crash for reporting. */
 	enqueue(report: CrashReport): void {
 		this.pending = [...this.pending, report].slice(-maxPending);
 		this.idleController.abort();
@@ -42,16 +40,16 @@
 			if (this.pending.length === 0) {
 				this.idleController = new AbortController();
 				// eslint-disable-next-line no-await-in-loop
-				await waitFor(idleTimeoutMs, AbortSignal.any([this.idleController.signal, signal]));
+				await waitFor(recheckIntervalMs, AbortSignal.any([this.idleController.signal, signal]));
 			} else {
-				// One report after the other.
+				// One request at a time.
 				// eslint-disable-next-line no-await-in-loop
 				failures = await this.report(failures, signal) ? 0 : failures + 1;
 			}
 		}
 	}
 
-	/** Tells all that waits to one control instance; whether it has it. */
+	/** Sends all pending reports to one control instance; returns whether it has accepted them. */
 	private async report(failures: number, signal: AbortSignal): Promise<boolean> {
 		const {client, listTargets} = this.options;
 		const targets = listTargets();
@@ -60,7 +58,7 @@
 		const answer = address === undefined
 			? undefined
 			: await client.call({
-				address, path: '/crashes', body: reports, idleTimeoutMs: silenceMs, signal,
+				address, path: '/crashes', body: reports, idleTimeoutMs, signal,
 			});
 		if (answer?.isOk()) {
 			this.pending = this.pending.filter(report => !reports.includes(report));
--- a/packages/mastvalve-gateway/src/quarantine/probe-listener.ts
+++ b/packages/mastvalve-gateway/src/quarantine/probe-listener.ts
@@ -1,21 +1,20 @@
 /**
- * Whether a process still listens at an address.
+ * Probes whether a process listens at an address.
  */
 
 import {connect} from 'node:net';
 import {assumeType} from 'mastvalve-utils';
 
-/** What a connection attempt has shown. */
+/** Result of a connection attempt. */
 export enum ListenerState {
-	/** Somebody listens. */
 	Listening = 'listening',
-	/** The instance is up, and nobody listens there: the process has ended. */
+	/** The instance refused the connection: it is up, and the process has ended. */
 	NotListening = 'absent',
-	/** Nothing came back: the instance is down or out of reach. */
+	/** No response: the instance is down or unreachable. */
 	Unknown = 'unknown',
 }
 
-/** A connection within a region is up or refused in a few ms, ms. */
+/** Time-out of a probe, ms. Within a region a connection is accepted or refused in a few ms. */
 const probeTimeoutMs = 400;
 
 /** Opens a connection to `ip:port` and closes it; never throws. */
--- a/packages/mastvalve-gateway/src/quarantine/request-quarantine.ts
+++ b/packages/mastvalve-gateway/src/quarantine/request-quarantine.ts
@@ -1,38 +1,39 @@
 /**
- * Which requests this entry hands to no endpoint: those that control has quarantined, and those that have ended enough
- * endpoints under this entry alone, so that it needs no control to stop.
+ * Quarantines requests, which this entry then sends to no endpoint: those that control has quarantined, and those that crashed
+ * enough endpoints when sent by this entry alone, so that they are stopped even while control is unreachable.
  *
- * A request that was answered whole a while ago is never among them. Many callers send the same short calls; whichever is
- * under way when endpoints crash for another reason would be refused to all of them.
+ * A request that was recently answered completely is exempt. Many callers send the same short requests; without the exemption,
+ * one that is in flight when endpoints crash for another reason would be refused for all callers.
  */
 
 import {CrashHistory, quarantineMs, type CrashReport} from 'mastvalve-fleet';
 import {BoundedMap} from 'mastvalve-utils';
 
-/** What the entry knows of control's quarantine. */
+/** The entry's copy of control's quarantine. */
 export type SharedQuarantine = {
-	/** Since when this entry knows that a request is quarantined, monotonic ms; undefined when it isn't. */
+	/** Returns when this entry was notified that a request is quarantined, monotonic ms; undefined if it isn't. */
 	findQuarantinedAt: (fingerprint: string) => number | undefined;
 };
 
-/** Requests answered whole that are remembered; those that many callers send are among the last ones. */
+/** Maximum number of remembered successful requests; those that many callers send are among the most recent. */
 const maxSuccesses = 2048;
-/** An answer that is older says nothing of the software that runs at the endpoints now, ms. */
+/** Time for which a success exempts a request, ms; an older one may stem from a software version that the endpoints no longer run. */
 const successTtlMs = 60_000;
-/** Requests that this entry has quarantined by itself. */
+/** Maximum number of requests that this entry has quarantined itself. */
 const maxLocal = 100;
 
-/** The quarantine as one entry keeps it. */
+/** Quarantine of one entry. */
 export class RequestQuarantine {
 	private readonly crashes = new CrashHistory();
+	/** When this entry quarantined requests itself, by fingerprint; monotonic ms. */
 	private readonly localTimes = new BoundedMap<string, number>(maxLocal);
 	private readonly succeededAt = new BoundedMap<string, number>(maxSuccesses);
 	private revision = 0;
 
-	/** `now` is monotonic, ms. */
+	/** `now` is a monotonic clock, ms. */
 	constructor(private readonly shared: SharedQuarantine, private readonly now: () => number) {}
 
-	/** How much longer a request is not handed to any endpoint, ms; undefined when it may be. */
+	/** Returns how much longer a request is quarantined, ms; undefined if it may be sent. */
 	findRemainingMs(fingerprint: string): number | undefined {
 		const quarantinedAt = this.shared.findQuarantinedAt(fingerprint) ?? this.localTimes.get(fingerprint);
 		if (quarantinedAt === undefined || this.hasSucceededRecently(fingerprint)) {
@@ -43,17 +44,17 @@
 		return remainingMs > 0 ? remainingMs : undefined;
 	}
 
-	/** Whether a request was answered whole lately, so that it can't be what ends endpoints. */
+	/** Whether a request was recently answered completely, which rules it out as the cause of crashes. */
 	hasSucceededRecently(fingerprint: string): boolean {
 		return this.now() - (this.succeededAt.get(fingerprint) ?? Number.NEGATIVE_INFINITY) < successTtlMs;
 	}
 
-	/** A request was answered whole and with success. */
+	/** Records that a request was answered successfully and completely. */
 	recordSuccess(fingerprint: string): void {
 		this.succeededAt.set(fingerprint, this.now());
 	}
 
-	/** An endpoint crashed with requests of this entry. */
+	/** Records that an endpoint crashed while running requests of this entry. */
 	recordCrash(report: CrashReport): void {
 		this.revision += 1;
 		this.crashes.record(report, this.revision).forEach(fingerprint => {
