--- a/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/running-gateway.ts
@@ -25,7 +25,7 @@
 const textOf = (value: string | string[] | undefined): string | undefined => (Array.isArray(value) ? value[0] : value);
 
 export const testDialect: Dialect = {
-	readCaller: headers => ({
+	parseCallerHeaders: headers => ({
 		requestId: textOf(headers['x-id']),
 		remainingMs: Number(textOf(headers['x-left']) ?? 5000),
 		model: textOf(headers['x-model']),
@@ -38,12 +38,12 @@
 	}),
 	fieldOwners: new Map([['x-resume', FieldOwner.Entry], ['x-workspace', FieldOwner.Entry], ['content-length', FieldOwner.Entry], ['authorization', FieldOwner.Credentials]]),
 	readKey: rawHeaders => parsePresentedKey(rawHeaders.filter((_, index) => index % 2 === 1 && rawHeaders[index - 1]?.toLowerCase() === 'authorization')),
-	writeEndpoint: ({resumeAfter, workspace, bodyLength}) => [
+	buildEndpointHeaders: ({resumeAfter, workspace, bodyLength}) => [
 		...(workspace === undefined ? [] : ['x-workspace', workspace]),
 		...(resumeAfter === undefined ? [] : ['x-resume', resumeAfter]),
 		...(bodyLength === undefined ? [] : ['content-length', String(bodyLength)]),
 	],
-	readAnswer: (_status, headers, rawHeaders) => ({
+	parseAnswerHeaders: (_status, headers, rawHeaders) => ({
 		requestId: textOf(headers['x-id']), endpointName: textOf(headers['x-endpoint']), isNotRun: headers['x-not-run'] !== undefined, isMisdirected: headers['x-misdirected'] !== undefined, load: undefined, limit: parseLimitHeader(textOf(headers['x-limit'])), retryAfter: parseRetryAfter(rawHeaders.filter((_, index) => rawHeaders[index - 1]?.toLowerCase() === 'retry-after')), isLeaving: headers['x-leaving'] === '1',
 	}),
 };
--- a/packages/mastvalve-gateway/src/dialect.ts
+++ b/packages/mastvalve-gateway/src/dialect.ts
@@ -76,11 +76,11 @@
 export type Dialect = {
 	/** Owners of all fields of the dialect, by lower-case name. */
 	fieldOwners: ReadonlyMap<string, FieldOwner>;
-	readCaller: (headers: IncomingHttpHeaders) => CallerHeaders;
+	parseCallerHeaders: (headers: IncomingHttpHeaders) => CallerHeaders;
 	/** Reads the key from a flat list of names and values, which shows duplicate fields. */
 	readKey: (rawHeaders: readonly string[]) => PresentedKey;
 	/** Returns the headers that the entry adds, as a flat list of names and values. */
-	writeEndpoint: (added: EndpointHeaders) => string[];
+	buildEndpointHeaders: (added: EndpointHeaders) => string[];
 	/** `rawHeaders` is a flat list of names and values, which shows duplicate fields. */
-	readAnswer: (statusCode: number, headers: IncomingHttpHeaders, rawHeaders: readonly string[]) => AnswerHeaders;
+	parseAnswerHeaders: (statusCode: number, headers: IncomingHttpHeaders, rawHeaders: readonly string[]) => AnswerHeaders;
 };
--- a/packages/mastvalve-gateway/src/endpoint-headers.ts
+++ b/packages/mastvalve-gateway/src/endpoint-headers.ts
@@ -18,6 +18,6 @@
 
 	return [
 		...callerHeaders.filter((_, index) => isForwarded(callerHeaders[index - (index % 2)] ?? '')),
-		...dialect.writeEndpoint(added),
+		...dialect.buildEndpointHeaders(added),
 	];
 };
--- a/packages/mastvalve-gateway/src/requests/handle-answer.ts
+++ b/packages/mastvalve-gateway/src/requests/handle-answer.ts
@@ -43,7 +43,7 @@
 export const handleAnswer = async (core: GatewayCore, request: CallerRequest, reply: Reply, progress: RequestProgress, {endpoint, grantedAt, outcome, use}: ReceivedAnswer): Promise<boolean> => {
 	const {res, cancel, isBroken} = outcome;
 	const status = res.statusCode ?? 0;
-	const head = core.dialect.readAnswer(status, res.headers, res.rawHeaders);
+	const head = core.dialect.parseAnswerHeaders(status, res.headers, res.rawHeaders);
 	const isForOtherRequest = head.requestId !== undefined && head.requestId !== request.requestId;
 	recordAnswerHead(core, request, {
 		endpoint, grantedAt, use, status,
--- a/packages/mastvalve-gateway/src/server/gateway.ts
+++ b/packages/mastvalve-gateway/src/server/gateway.ts
@@ -156,7 +156,7 @@
 		const path = req.url ?? '/';
 		const route = read.configuration.routes.match(req.headers.host ?? '', path.split('?', 1)[0] ?? '/');
 		const service = route && chooseTarget(route.targets, core.random());
-		const caller = core.dialect.readCaller(req.headers);
+		const caller = core.dialect.parseCallerHeaders(req.headers);
 		if (!route || service === undefined) {
 			core.log('request.unrouted', {
 				request: caller.requestId, host: req.headers.host, path, version: read.configuration.version,
--- a/packages/mastvalve-gateway/src/server/wait-for-control.ts
+++ b/packages/mastvalve-gateway/src/server/wait-for-control.ts
@@ -19,7 +19,7 @@
 		return;
 	}
 
-	const remainingMs = dialect.readCaller(req.headers).remainingMs ?? 0;
+	const remainingMs = dialect.parseCallerHeaders(req.headers).remainingMs ?? 0;
 	await new Promise<void>(resolve => {
 		const done = (): void => {
 			clearTimeout(timer);
