--- a/packages/mastvalve-gateway/__tests__/__fixtures__/crashing-engines.ts
+++ b/packages/mastvalve-gateway/__tests__/__fixtures__/crashing-engines.ts
@@ -1,6 +1,6 @@
 /**
- * Engines that report to control, end when they begin a request that says so, and start again a while later under a new
- * identity at the same address.
+ * Engines that report to control, crash when they run a request with a crash marker, and restart later with a new id at the same
+ * address.
  */
 
 import type {Socket} from 'node:net';
@@ -11,86 +11,84 @@
 	formatAnswer, idOf, startScriptedEndpoint, type ScriptedEndpoint,
 } from './scripted-endpoint.js';
 
-/** A request with this in its text ends the engine that begins it. */
-export const deadlyText = 'deadly';
-/** Time from the begin of a request to its answer or to the end of its engine, ms. */
+/** A request that contains this text crashes the engine that runs it. */
+export const crashingText = 'deadly';
+/** Time from the start of a request to its answer or to the crash of its engine, ms. */
 const runMs = 60;
 
-type Life = {endpoint: ScriptedEndpoint; report: EndpointReport};
+type EngineProcess = {endpoint: ScriptedEndpoint; report: EndpointReport};
 
-/** All engines of a test. */
 export class CrashingEngines {
-	/** How many lives have ended under a request. */
-	ended = 0;
-	/** How many times a deadly request was taken. */
-	deadlyTaken = 0;
-	private readonly lives: Life[] = [];
-	private births = 0;
+	/** Number of engines crashed by a request. */
+	crashed = 0;
+	/** Number of crashing requests that engines accepted. */
+	crashingAccepted = 0;
+	private readonly processes: EngineProcess[] = [];
+	private startCount = 0;
 	private isClosing = false;
 
-	constructor(private readonly control: FleetControl, private readonly backAfterMs: number) {}
+	constructor(private readonly control: FleetControl, private readonly restartAfterMs: number) {}
 
 	get count(): number {
-		return this.lives.length;
+		return this.processes.length;
 	}
 
-	/** Starts as many. */
 	async start(count: number): Promise<void> {
-		await Promise.all(Array.from({length: count}, async (_, index) => this.begin(index)));
+		await Promise.all(Array.from({length: count}, async (_, index) => this.startEngine(index)));
 	}
 
-	/** Ends one from outside, whatever it runs. */
+	/** Crashes an engine externally, regardless of what it runs. */
 	crash(index: number): void {
-		const life = this.lives[index]!;
-		life.endpoint.close();
+		const process = this.processes[index]!;
+		process.endpoint.close();
 		setTimeout(() => {
-			void this.restart(index, life);
-		}, this.backAfterMs);
+			void this.restart(index, process);
+		}, this.restartAfterMs);
 	}
 
-	/** Resets all connections to all of them; they go on. */
+	/** Resets all connections to all engines, which keep running. */
 	resetAll(): void {
-		this.lives.forEach(({endpoint}) => {
+		this.processes.forEach(({endpoint}) => {
 			endpoint.resetConnections();
 		});
 	}
 
-	/** All tell that they leave, and end then whatever they run; others come later in their places. */
+	/** Lets all engines report that they are leaving and end with requests in flight; they restart later. */
 	async leaveAll(): Promise<void> {
-		await Promise.all(this.lives.map(async ({report}) => this.tell({...report, sequence: report.sequence + 1, isLeaving: true})));
-		this.lives.forEach((_, index) => {
+		await Promise.all(this.processes.map(async ({report}) => this.sendReport({...report, sequence: report.sequence + 1, isLeaving: true})));
+		this.processes.forEach((_, index) => {
 			this.crash(index);
 		});
 	}
 
 	close(): void {
 		this.isClosing = true;
-		this.lives.forEach(({endpoint}) => {
+		this.processes.forEach(({endpoint}) => {
 			endpoint.close();
 		});
 	}
 
-	private async begin(index: number, port = 0): Promise<void> {
-		const life = {isOver: false};
-		this.births += 1;
-		const id = `engine-${index}-${this.births}`;
+	private async startEngine(index: number, port = 0): Promise<void> {
+		const state = {hasCrashed: false};
+		this.startCount += 1;
+		const id = `engine-${index}-${this.startCount}`;
 		const endpoint = await startScriptedEndpoint((socket, text) => {
-			this.run(index, life, socket, text);
+			this.run(index, state, socket, text);
 		}, port);
 		const report: EndpointReport = {
 			id, sequence: 1, service: 's', address: endpoint.address, failureDomain: 'a', release: '', slots: 64, isLeaving: false, remainingMs: undefined, holds: [], inMemory: [], onDisk: [],
 		};
-		this.lives[index] = {endpoint, report};
-		await this.tell(report);
+		this.processes[index] = {endpoint, report};
+		await this.sendReport(report);
 	}
 
-	private run(index: number, life: {isOver: boolean}, socket: Socket, text: string): void {
-		const isDeadly = text.includes(deadlyText);
-		this.deadlyTaken += isDeadly ? 1 : 0;
+	private run(index: number, state: {hasCrashed: boolean}, socket: Socket, text: string): void {
+		const isCrashing = text.includes(crashingText);
+		this.crashingAccepted += isCrashing ? 1 : 0;
 		setTimeout(() => {
-			if (isDeadly && !life.isOver) {
-				life.isOver = true;
-				this.ended += 1;
+			if (isCrashing && !state.hasCrashed) {
+				state.hasCrashed = true;
+				this.crashed += 1;
 				this.crash(index);
 			} else {
 				socket.write(formatAnswer(idOf(text), 'whole'));
@@ -98,16 +96,16 @@
 		}, runMs);
 	}
 
-	private async restart(index: number, {endpoint}: Life): Promise<void> {
+	private async restart(index: number, {endpoint}: EngineProcess): Promise<void> {
 		if (!this.isClosing) {
-			await this.begin(index, Number(endpoint.address.split(':')[1]));
+			await this.startEngine(index, Number(endpoint.address.split(':')[1]));
 		}
 	}
 
-	private async tell(report: EndpointReport): Promise<void> {
-		await waitUntil('control has taken a report', async () => {
-			const taken = await this.control.report(report);
-			return taken.isOk() || this.isClosing;
+	private async sendReport(report: EndpointReport): Promise<void> {
+		await waitUntil('control has accepted a report', async () => {
+			const result = await this.control.report(report);
+			return result.isOk() || this.isClosing;
 		});
 	}
 }
--- a/packages/mastvalve-gateway/__tests__/crashing-requests.feature
+++ b/packages/mastvalve-gateway/__tests__/crashing-requests.feature
@@ -1,52 +1,48 @@
-Feature: Requests under which endpoints end
+Feature: Requests that crash endpoints
 
-  # A request came again and again, each time under another identity and through another entry, and every engine that began
-  # to run it ended. An entry knew which engines one request had been tried at, but nothing of a request with the
-  # same content that had come before or through another entry, so each repetition went to the next engine that looked
-  # sound: nine engines ended within 7.4 s, and with each of them 1 to 7 requests broke off.
-  # What settled it: the same fingerprint at each engine that ended, while the identities differed (lines of this test before the mend).
-  #   attempt.failed {"request":"request-1","fingerprint":"a76fd4068bc9089d","endpoint":"engine-1-2","outcome":"lost","reason":"socket hang up"}
-  #   attempt.failed {"request":"request-3","fingerprint":"a76fd4068bc9089d","endpoint":"engine-4-5","outcome":"lost","reason":"socket hang up"}
-  #   attempt.failed {"request":"request-5","fingerprint":"a76fd4068bc9089d","endpoint":"engine-7-8","outcome":"lost","reason":"socket hang up"}
-  Scenario: A request under which three endpoints have ended is not sent to many more
+  # Guards against a request that crashes one engine after the other. Callers repeated it with other request ids and through other entries.
+  # An entry knew the engines at which one request had been attempted, but nothing of earlier requests with the same content or of those
+  # at other entries, so each repetition went to the next healthy engine: nine engines crashed within 7.4 s, and each crash broke off 1 to 7
+  # requests. The requests at the crashed engines had the same fingerprint.
+  Scenario: A request that has crashed three endpoints is sent to only a few more
     Given 3 entries that follow control
-    And 8 engines that end when they begin a deadly request, and are back 1500 ms later
-    When the same deadly request comes 20 times, 150 ms apart, at one entry after the other, beside other requests
-    Then at most 6 engines have ended
-    And the last 5 deadly requests were refused as not run within 100 ms each
-    And the last 5 of the other requests were answered
+    And 8 engines that crash when they run a crashing request, and restart after 1500 ms
+    When the same crashing request arrives 20 times, 150 ms apart, round-robin over the entries, together with other requests
+    Then at most 6 engines have crashed
+    And the last 5 crashing requests are each refused as not run within 100 ms
+    And the last 5 of the other requests succeed
 
-  Scenario: An entry that starts later knows which requests are quarantined
+  Scenario: An entry that starts later receives the quarantined requests
     Given 2 entries that follow control
-    And 6 engines that end when they begin a deadly request, and are back 1000 ms later
-    When the same deadly request comes 6 times, 200 ms apart, at one entry after the other, beside other requests
+    And 6 engines that crash when they run a crashing request, and restart after 1000 ms
+    When the same crashing request arrives 6 times, 200 ms apart, round-robin over the entries, together with other requests
     And the entries are restarted
-    And a deadly request comes once more at each entry
-    Then the last 2 deadly requests were refused as not run within 100 ms each
-    And at most 6 engines have ended
+    And a crashing request arrives once more at each entry
+    Then the last 2 crashing requests are each refused as not run within 100 ms
+    And at most 6 engines have crashed
 
-  Scenario: A short call that many send is served on, although endpoints crash while it is under way
+  Scenario: A frequent short request is not quarantined when endpoints crash while it runs
     Given 2 entries that follow control
-    And 5 engines that end when they begin a deadly request, and are back 300 ms later
-    When the same harmless call comes every 20 ms at one entry after the other, while engines crash 6 times for another reason
-    Then the last 20 harmless calls were answered
+    And 5 engines that crash when they run a crashing request, and restart after 300 ms
+    When the same harmless request arrives every 20 ms, round-robin over the entries, while engines crash 6 times for another reason
+    Then the last 20 harmless requests succeed
     And control has quarantined 0 requests
 
-  Scenario: Connections that are reset are no crash
+  Scenario: Connection resets do not count as crashes
     Given 2 entries that follow control
-    And 4 engines that end when they begin a deadly request, and are back 300 ms later
-    When the same request comes 8 times, and the connections of all engines are reset under it each time
+    And 4 engines that crash when they run a crashing request, and restart after 300 ms
+    When the same request arrives 8 times, and the connections of all engines are reset while it runs
     Then control has quarantined 0 requests
 
-  Scenario: An endpoint that ends after it has said that it leaves did not crash
+  Scenario: An endpoint that ends after it has reported leaving does not count as crashed
     Given 1 entry that follows control
-    And 6 engines that end when they begin a deadly request, and are back 300 ms later
-    When the same request comes 5 times, and each time the engines say that they leave and end
+    And 6 engines that crash when they run a crashing request, and restart after 300 ms
+    When the same request arrives 5 times, and each time the engines report that they are leaving and end
     Then control has quarantined 0 requests
 
-  Scenario: Engines that crash one by one under a request are counted by control when no entry sees more than one
+  Scenario: Control counts the engines that a request crashes when no entry detects more than one of them
     Given 4 entries that follow control
-    And 8 engines that end when they begin a deadly request, and are back 1000 ms later
-    When the same deadly request, which may not be repeated, comes once at each entry, 300 ms apart
-    Then at most 3 engines have ended
+    And 8 engines that crash when they run a crashing request, and restart after 1000 ms
+    When the same crashing request, which must not be repeated, arrives once at each entry, 300 ms apart
+    Then at most 3 engines have crashed
     And control has quarantined 1 request
--- a/packages/mastvalve-gateway/__tests__/crashing-requests.steps.ts
+++ b/packages/mastvalve-gateway/__tests__/crashing-requests.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps of requests under which endpoints end.
+ * Steps for requests that crash endpoints.
  */
 
 import {strict as assert} from 'node:assert';
@@ -7,24 +7,24 @@
 	After, Given, Then, When, type World,
 } from '@cucumber/cucumber';
 import {waitFor} from 'mastvalve-utils';
-import {CrashingEngines, deadlyText} from './__fixtures__/crashing-engines.js';
+import {CrashingEngines, crashingText} from './__fixtures__/crashing-engines.js';
 import {EntriesAndControl, type CallResult} from './__fixtures__/entries-and-control.js';
 
 type CrashWorld = World & {
 	following: EntriesAndControl;
 	crashingEngines: CrashingEngines;
-	deadly: CallResult[];
+	crashing: CallResult[];
 	others: CallResult[];
 };
 
 const refusedStatus = 503;
 const okStatus = 200;
-/** Time between two crashes from outside, and for what follows from one, ms. */
+/** Time between two external crashes, in which entries and control process one, ms. */
 const crashPauseMs = 200;
 const settleMs = 300;
-/** A request has reached an engine by then, and is not answered yet, ms. */
-const underWayMs = 30;
-const deadlyBody = `summarise this ${deadlyText} annex`;
+/** Time after which a request has reached an engine and is not answered yet, ms. */
+const inFlightMs = 30;
+const crashingBody = `summarise this ${crashingText} annex`;
 
 After(async function (this: CrashWorld) {
 	this.crashingEngines?.close();
@@ -33,27 +33,27 @@
 
 Given('{int} entry/entries that follow(s) control', async function (this: CrashWorld, count: number) {
 	this.following = await EntriesAndControl.open(count);
-	this.deadly = [];
+	this.crashing = [];
 	this.others = [];
 });
 
-Given('{int} engines that end when they begin a deadly request, and are back {int} ms later', async function (this: CrashWorld, count: number, backAfterMs: number) {
-	this.crashingEngines = new CrashingEngines(this.following.single.control, backAfterMs);
+Given('{int} engines that crash when they run a crashing request, and restart after {int} ms', async function (this: CrashWorld, count: number, restartAfterMs: number) {
+	this.crashingEngines = new CrashingEngines(this.following.single.control, restartAfterMs);
 	await this.crashingEngines.start(count);
 	await this.following.waitForEndpoints(count);
 });
 
-/** Sends one deadly request, and another one beside it, to one entry. */
-const sendPair = async ({following, deadly, others}: CrashWorld, number: number): Promise<void> => {
+/** Sends one crashing request and one other request to an entry, concurrently. */
+const sendPair = async ({following, crashing, others}: CrashWorld, number: number): Promise<void> => {
 	const [first, second] = await Promise.all([
-		following.call(number % following.count, '/stream/x', deadlyBody),
+		following.call(number % following.count, '/stream/x', crashingBody),
 		following.call(number % following.count, '/stream/x', `question ${number}`),
 	]);
-	deadly.push(first);
+	crashing.push(first);
 	others.push(second);
 };
 
-/** Repeats something a number of times, one after the other, with a pause behind each. */
+/** Runs a body repeatedly and sequentially, with a pause after each run. */
 const repeat = async (count: number, pauseMs: number, body: (number: number) => Promise<void>): Promise<void> => {
 	await Array.from({length: count}).reduce<Promise<void>>(async (before, _, number) => {
 		await before;
@@ -62,43 +62,43 @@
 	}, Promise.resolve());
 };
 
-const sendDeadly = async (world: CrashWorld, count: number, pauseMs: number): Promise<void> => {
+const sendCrashing = async (world: CrashWorld, count: number, pauseMs: number): Promise<void> => {
 	await Promise.all(Array.from({length: count}, async (_, number) => {
 		await waitFor(number * pauseMs);
 		await sendPair(world, number);
 	}));
 };
 
-/** Sends a request that ends nothing, and does something to the engines while it is under way. */
+/** Sends a harmless request, and runs an action while it is in flight. */
 const callWhile = async ({following}: CrashWorld, number: number, act: () => Promise<void>): Promise<void> => {
 	const call = following.call(number % following.count, '/unsafe/x', 'the same question');
-	await waitFor(underWayMs);
+	await waitFor(inFlightMs);
 	await act();
 	await call;
 };
 
-When('the same deadly request comes {int} times, {int} ms apart, at one entry after the other, beside other requests', async function (this: CrashWorld, count: number, pauseMs: number) {
-	await sendDeadly(this, count, pauseMs);
+When('the same crashing request arrives {int} times, {int} ms apart, round-robin over the entries, together with other requests', async function (this: CrashWorld, count: number, pauseMs: number) {
+	await sendCrashing(this, count, pauseMs);
 });
 
-Then('at most {int} engines have ended', function (this: CrashWorld, limit: number) {
-	this.attach(`${this.crashingEngines.ended} engines ended, ${this.crashingEngines.deadlyTaken} took the request`);
-	assert.ok(this.crashingEngines.ended <= limit, `${this.crashingEngines.ended} engines ended, ${this.crashingEngines.deadlyTaken} took the request`);
+Then('at most {int} engines have crashed', function (this: CrashWorld, limit: number) {
+	this.attach(`${this.crashingEngines.crashed} engines crashed, ${this.crashingEngines.crashingAccepted} accepted the request`);
+	assert.ok(this.crashingEngines.crashed <= limit, `${this.crashingEngines.crashed} engines crashed, ${this.crashingEngines.crashingAccepted} accepted the request`);
 });
 
-Then('the last {int} deadly requests were refused as not run within {int} ms each', function (this: CrashWorld, count: number, limitMs: number) {
-	const last = this.deadly.slice(-count);
+Then('the last {int} crashing requests are each refused as not run within {int} ms', function (this: CrashWorld, count: number, limitMs: number) {
+	const last = this.crashing.slice(-count);
 	assert.deepEqual(last.map(({status}) => status), Array.from({length: count}, () => refusedStatus));
 	assert.ok(last.every(({tookMs}) => tookMs <= limitMs), JSON.stringify(last));
 });
 
-Then('the last {int} of the other requests were answered', function (this: CrashWorld, count: number) {
+Then('the last {int} of the other requests succeed', function (this: CrashWorld, count: number) {
 	assert.deepEqual(this.others.slice(-count).map(({status}) => status), Array.from({length: count}, () => okStatus));
 });
 
-When('the same deadly request, which may not be repeated, comes once at each entry, {int} ms apart', async function (this: CrashWorld, pauseMs: number) {
+When('the same crashing request, which must not be repeated, arrives once at each entry, {int} ms apart', async function (this: CrashWorld, pauseMs: number) {
 	await repeat(this.following.count, pauseMs, async number => {
-		await this.following.call(number, '/unsafe/x', deadlyBody);
+		await this.following.call(number, '/unsafe/x', crashingBody);
 	});
 });
 
@@ -106,12 +106,12 @@
 	await Promise.all(Array.from({length: this.following.count}, async (_, index) => this.following.restart(index)));
 });
 
-When('a deadly request comes once more at each entry', async function (this: CrashWorld) {
-	const results = await Promise.all(Array.from({length: this.following.count}, async (_, index) => this.following.call(index, '/stream/x', deadlyBody)));
-	this.deadly.push(...results);
+When('a crashing request arrives once more at each entry', async function (this: CrashWorld) {
+	const results = await Promise.all(Array.from({length: this.following.count}, async (_, index) => this.following.call(index, '/stream/x', crashingBody)));
+	this.crashing.push(...results);
 });
 
-When('the same harmless call comes every {int} ms at one entry after the other, while engines crash {int} times for another reason', async function (this: CrashWorld, pauseMs: number, crashes: number) {
+When('the same harmless request arrives every {int} ms, round-robin over the entries, while engines crash {int} times for another reason', async function (this: CrashWorld, pauseMs: number, crashes: number) {
 	const ending = new AbortController();
 	const calls: Array<Promise<void>> = [];
 	const calling = (async () => {
@@ -133,17 +133,17 @@
 	await Promise.all(calls);
 });
 
-When('the same request comes {int} times, and the connections of all engines are reset under it each time', async function (this: CrashWorld, count: number) {
+When('the same request arrives {int} times, and the connections of all engines are reset while it runs', async function (this: CrashWorld, count: number) {
 	await repeat(count, crashPauseMs, async number => callWhile(this, number, async () => {
 		this.crashingEngines.resetAll();
 	}));
 });
 
-When('the same request comes {int} times, and each time the engines say that they leave and end', async function (this: CrashWorld, count: number) {
+When('the same request arrives {int} times, and each time the engines report that they are leaving and end', async function (this: CrashWorld, count: number) {
 	await repeat(count, crashPauseMs * 3, async number => callWhile(this, number, async () => this.crashingEngines.leaveAll()));
 });
 
-Then('the last {int} harmless calls were answered', function (this: CrashWorld, count: number) {
+Then('the last {int} harmless requests succeed', function (this: CrashWorld, count: number) {
 	assert.deepEqual(this.others.slice(-count).map(({status}) => status), Array.from({length: count}, () => okStatus));
 });
 
