--- a/packages/mastvalve-claims/src/claim-decision.ts
+++ b/packages/mastvalve-claims/src/claim-decision.ts
@@ -2,7 +2,7 @@
  * Decisions of the claim table.
  */
 
-import type {KeptAnswer} from 'mastvalve-types';
+import type {StoredResponse} from 'mastvalve-types';
 
 export enum ClaimDecisionKind {
 	/** The attempt holds the key and may be dispatched once. */
@@ -26,5 +26,5 @@
 /** Decision on a claim request. `token` is the log index of the granted request. */
 export type ClaimDecision
 	= | {kind: ClaimDecisionKind.Granted; token: number}
-		| {kind: ClaimDecisionKind.Done; answer?: KeptAnswer}
+		| {kind: ClaimDecisionKind.Done; answer?: StoredResponse}
 		| {kind: Exclude<ClaimDecisionKind, ClaimDecisionKind.Granted | ClaimDecisionKind.Done>};
--- a/packages/mastvalve-claims/src/claim-request.ts
+++ b/packages/mastvalve-claims/src/claim-request.ts
@@ -2,7 +2,7 @@
  * Requests to the claim table.
  */
 
-import type {ClaimStatus, KeptAnswer} from 'mastvalve-types';
+import type {ClaimStatus, StoredResponse} from 'mastvalve-types';
 
 /** Request to claim a key for one attempt. */
 export type ClaimRequest = {
@@ -20,5 +20,5 @@
 	key: string;
 	attempt: string;
 	status: ClaimStatus.Done | ClaimStatus.NotRun | ClaimStatus.Unknown;
-	answer?: KeptAnswer;
+	answer?: StoredResponse;
 };
--- a/packages/mastvalve-entry/src/requests/claimed-call.ts
+++ b/packages/mastvalve-entry/src/requests/claimed-call.ts
@@ -5,7 +5,7 @@
 import {ClaimDecisionKind, type ClaimDecision} from 'mastvalve-claims';
 import type {ControlClient} from 'mastvalve-control';
 import {
-	ClaimStatus, MastvalveError, Outcome, RefusedError, UnknownOutcomeError, type KeptAnswer,
+	ClaimStatus, MastvalveError, Outcome, RefusedError, UnknownOutcomeError, type StoredResponse,
 } from 'mastvalve-types';
 import {waitFor} from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
@@ -23,7 +23,7 @@
 };
 
 /** An answer, and whether it is one that was kept from the first time. */
-export type ClaimedAnswer = {answer: KeptAnswer; isReplay: boolean};
+export type ClaimedAnswer = {answer: StoredResponse; isReplay: boolean};
 
 /** Control may need this long at most to grant a claim, ms. */
 const maxClaimMs = 3000;
@@ -38,7 +38,7 @@
 export const runClaimedCall = async (
 	call: ClaimedCall,
 	control: ControlClient,
-	dispatch: (token: number) => Promise<Result<KeptAnswer, MastvalveError>>,
+	dispatch: (token: number) => Promise<Result<StoredResponse, MastvalveError>>,
 ): Promise<Result<ClaimedAnswer, MastvalveError>> => {
 	const {key, digest, attempt, issuedAt, deadlineMs, wall} = call;
 	const begun = await control.beginClaim({
@@ -59,7 +59,7 @@
 	{key, attempt}: ClaimedCall,
 	token: number,
 	control: ControlClient,
-	dispatch: (token: number) => Promise<Result<KeptAnswer, MastvalveError>>,
+	dispatch: (token: number) => Promise<Result<StoredResponse, MastvalveError>>,
 ): Promise<Result<ClaimedAnswer, MastvalveError>> => {
 	const result = await dispatch(token);
 	const failure = result.isErr() && result.error.outcome === Outcome.NotRun ? ClaimStatus.NotRun : ClaimStatus.Unknown;
--- a/packages/mastvalve-entry/src/server/service-routes.ts
+++ b/packages/mastvalve-entry/src/server/service-routes.ts
@@ -7,7 +7,7 @@
 import type {Context, Hono} from 'hono';
 import {Header} from 'mastvalve-http';
 import {
-	BadRequestError, Outcome, ServiceKind, UnknownNameError, type KeptAnswer, type MastvalveError, type Service,
+	BadRequestError, Outcome, ServiceKind, UnknownNameError, type StoredResponse, type MastvalveError, type Service,
 } from 'mastvalve-types';
 import {hashCanonically} from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
@@ -141,7 +141,7 @@
 	});
 };
 
-const callOnce = async (core: EntryCore, request: EntryRequest): Promise<Result<KeptAnswer, MastvalveError>> => {
+const callOnce = async (core: EntryCore, request: EntryRequest): Promise<Result<StoredResponse, MastvalveError>> => {
 	const opened = await openAnswer(core, request);
 	if (opened.isErr()) {
 		return err(opened.error);
@@ -154,7 +154,7 @@
 
 const bodilessStatuses = new Set([204, 205, 304]);
 
-const toResponse = (answer: KeptAnswer, isReplay: boolean, requestId: string): Response =>
+const toResponse = (answer: StoredResponse, isReplay: boolean, requestId: string): Response =>
 	new Response(bodilessStatuses.has(answer.status) ? undefined : Buffer.from(answer.body, 'base64'), {
 		status: answer.status,
 		headers: {
--- a/packages/mastvalve-types/src/assignment-mode.ts
+++ b/packages/mastvalve-types/src/assignment-mode.ts
@@ -1,11 +1,11 @@
 /**
- * How an endpoint holds a model.
+ * Modes in which endpoints hold models.
  */
 
-/** Whether a model sits in memory always or on demand. */
+/** Residency of an assigned model. */
 export enum AssignmentMode {
-	/** Loaded and kept. */
+	/** Loaded permanently. */
 	Resident = 'resident',
-	/** Loaded when a caller asks, into the endpoint's room for that. */
+	/** Loaded on request, into the endpoint memory available to on-demand models. */
 	OnDemand = 'on-demand',
 }
--- a/packages/mastvalve-types/src/assignment.ts
+++ b/packages/mastvalve-types/src/assignment.ts
@@ -1,10 +1,10 @@
 /**
- * One model on one endpoint.
+ * Assignments of models to endpoints.
  */
 
 import type {AssignmentMode} from './assignment-mode.js';
 
-/** What the configuration asks of an endpoint for one model. */
+/** Assigns one model to an endpoint, with the mode in which the endpoint holds it. */
 export type Assignment = {
 	model: string;
 	mode: AssignmentMode;
--- a/packages/mastvalve-types/src/claim-status.ts
+++ b/packages/mastvalve-types/src/claim-status.ts
@@ -1,15 +1,15 @@
 /**
- * States of a claim on a key that must run at most once.
+ * States of a claim on a key whose call must run at most once.
  */
 
-/** What is known of the call that holds a key. */
+/** Execution state of the call that holds a key. */
 export enum ClaimStatus {
-	/** Claimed; it may have been dispatched. */
+	/** Claimed; the call may have been dispatched. */
 	Running = 'running',
-	/** It ran, and its answer is kept. */
+	/** The call ran and its response is stored. */
 	Done = 'done',
-	/** Nothing was handed to an endpoint; the key may be claimed again. */
+	/** No endpoint ran the call; the key can be claimed again. */
 	NotRun = 'not-run',
-	/** It may have run; it is never run again. */
+	/** The call may have run and is never run again. */
 	Unknown = 'unknown',
 }
--- a/packages/mastvalve-types/src/claim.ts
+++ b/packages/mastvalve-types/src/claim.ts
@@ -1,28 +1,28 @@
 /**
- * A claim on a key, and what a repeat is told.
+ * Claims on keys of calls that must run at most once, and the responses stored for repeats.
  */
 
 import type {ClaimStatus} from './claim-status.js';
 
-/** The kept answer of a call. */
-export type KeptAnswer = {
+/** Response of a finished call, returned to repeats of it. */
+export type StoredResponse = {
 	status: number;
 	contentType: string;
-	/** Base64 of the body. */
+	/** Base64-encoded body. */
 	body: string;
 };
 
-/** A claim as the replicated log keeps it. */
+/** A claim as stored in the replicated log. */
 export type Claim = {
 	key: string;
-	/** Hash of method, path and body; a repeat with another one is refused. */
+	/** Hash of method, path and body; a repeat with a different digest is rejected. */
 	digest: string;
-	/** Identity of the attempt that holds the key. */
+	/** ID of the attempt that holds the key. */
 	attempt: string;
 	status: ClaimStatus;
-	/** When the key was issued, ms since the epoch. */
+	/** Time at which the key was issued, in ms since the epoch. */
 	issuedAt: number;
-	/** After this time (ms since the epoch) a claim still running becomes unknown. */
+	/** Time in ms since the epoch after which a running claim counts as `Unknown`. */
 	expiresAt: number;
-	answer?: KeptAnswer;
+	answer?: StoredResponse;
 };
--- a/packages/mastvalve-types/src/configuration-change.ts
+++ b/packages/mastvalve-types/src/configuration-change.ts
@@ -1,30 +1,30 @@
 /**
- * The difference between two revisions of the configuration.
+ * Deltas between revisions of the configuration.
  */
 
 import type {CollectionName, Configuration} from './configuration.js';
 
-/** What changed in one keyed collection. */
+/** The delta of one keyed collection. */
 export type CollectionChange<T> = {
 	put: Record<string, T>;
 	removed: string[];
 };
 
-/** One step from an older to a newer revision. */
+/** The delta from one revision to a later one. */
 export type ConfigurationChange = {
-	/** The revision that it starts from. */
+	/** Revision to which the delta applies. */
 	base: number;
-	/** The revision to which it leads. */
+	/** Revision after the delta is applied. */
 	revision: number;
 	version: number;
 	collections: {[Name in CollectionName]?: CollectionChange<Configuration[Name][string]>};
 };
 
-/** What an upstream answers to "what came after revision N". */
+/** Response of an upstream to a request for the changes after a given revision. */
 export type ConfigurationUpdate = {
 	clusterId: string;
-	/** The steps, oldest first. */
+	/** Deltas in revision order, oldest first. */
 	changes: ConfigurationChange[];
-	/** The whole configuration instead, when the steps are no longer kept. */
+	/** The full configuration, sent instead when the deltas are no longer retained. */
 	snapshot?: Configuration;
 };
--- a/packages/mastvalve-types/src/configuration.ts
+++ b/packages/mastvalve-types/src/configuration.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration that is in force everywhere.
+ * The configuration that control replicates to all instances.
  */
 
 import type {DeclaredEvent} from './declared-event.js';
@@ -8,13 +8,13 @@
 import type {Placement} from './placement.js';
 import type {Service} from './service.js';
 
-/** The whole configuration; collections are keyed by name so that changes stay small. */
+/** A full configuration; collections are keyed by name to keep deltas small. */
 export type Configuration = {
-	/** Identity of the replicated log that it comes from. */
+	/** ID of the cluster whose replicated log produced it. */
 	clusterId: string;
-	/** Index in the replicated log; grows with every change and never goes back. */
+	/** Index in the replicated log; increases with every change and never decreases. */
 	revision: number;
-	/** Number of confirmed intents; operators compare and set on it. */
+	/** Number of confirmed intents; operators use it for compare-and-set. */
 	version: number;
 	services: Record<string, Service>;
 	models: Record<string, Model>;
--- a/packages/mastvalve-types/src/coordination-errors.ts
+++ b/packages/mastvalve-types/src/coordination-errors.ts
@@ -1,12 +1,12 @@
 /**
- * Errors between mastvalve's own processes.
+ * Errors raised in communication between mastvalve's processes and in their stored state.
  */
 
 import {MastvalveError} from './mastvalve-error.js';
 
-/** The control instance asked is not the leader. */
+/** Thrown when the contacted control instance is not the leader. */
 export class NotLeaderError extends MastvalveError {
-	/** Instance name of the leader, if it is known. */
+	/** Instance name of the leader, if known. */
 	readonly leader: string | undefined;
 
 	constructor(leader: string | undefined) {
@@ -16,7 +16,7 @@
 	}
 }
 
-/** Control can't be reached, or has no majority. */
+/** Thrown when control is unreachable or has no quorum. */
 export class ControlUnavailableError extends MastvalveError {
 	constructor(message: string, cause?: unknown) {
 		super('control-unavailable', message, {status: 503, retryAfterSeconds: 1, cause});
@@ -24,7 +24,7 @@
 	}
 }
 
-/** A heartbeat comes from an earlier incarnation of an endpoint, or from one of a service that no configuration names. */
+/** Thrown when a heartbeat comes from an earlier incarnation of an endpoint or from an endpoint of a service that is not configured. */
 export class UnknownEndpointError extends MastvalveError {
 	constructor(id: string) {
 		super('unknown-endpoint', `${id} is no endpoint that requests go to.`, {status: 400});
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Stored state is damaged or belongs to somebody else. */
+/** Thrown when stored state is corrupt, has an unsupported format or belongs to another instance. */
 export class StorageError extends MastvalveError {
 	constructor(message: string, cause?: unknown) {
 		super('storage', message, {cause});
--- a/packages/mastvalve-types/src/declared-event.ts
+++ b/packages/mastvalve-types/src/declared-event.ts
@@ -1,21 +1,21 @@
 /**
- * A burst that operators announce.
+ * Demand peaks that operators declare in advance.
  */
 
-/** An event, such as a library opening, with the memory it may claim. */
+/** An expected peak, such as a library opening, with its memory budget. */
 export type DeclaredEvent = {
 	name: string;
 	/** Local time of day, `HH:MM`, at which demand rises. */
 	at: string;
-	/** How long the demand lasts, in minutes. */
+	/** Duration of the peak in minutes. */
 	minutes: number;
-	/** Models that must be ready, each with its number of replicas. */
+	/** Models that must be loaded, with their replica counts. */
 	models: EventModel[];
-	/** Accelerator memory that it may claim in all, in the endpoints' unit. */
+	/** Total accelerator memory that the event may use, in the unit of `Endpoint.capacity`. */
 	memory: number;
 };
 
-/** What one event asks for one model. */
+/** Replicas of one model required by an event. */
 export type EventModel = {
 	model: string;
 	replicas: number;
--- a/packages/mastvalve-types/src/endpoint-report.ts
+++ b/packages/mastvalve-types/src/endpoint-report.ts
@@ -1,19 +1,19 @@
 /**
- * What a sidecar tells control about its endpoint.
+ * Status reports from sidecars to control.
  */
 
 import type {EndpointState} from './endpoint-state.js';
 
-/** Sent when it changes, and with each heartbeat. */
+/** State of one endpoint, sent on every change and with each heartbeat. */
 export type EndpointReport = {
 	endpointId: string;
 	incarnation: number;
-	/** Counts the reports of one incarnation; an older one that arrives late is passed over. */
+	/** Report number within the incarnation; reports that arrive out of order with a lower number are ignored. */
 	sequence: number;
 	state: EndpointState;
-	/** Models that the engine has proved to hold. */
+	/** Models that the engine has confirmed as loaded. */
 	loaded: string[];
-	/** Models whose load is under way or unproved. */
+	/** Models whose load is in progress or not yet confirmed. */
 	loading: string[];
 	/** Requests in progress. */
 	running: number;
--- a/packages/mastvalve-types/src/endpoint-state.ts
+++ b/packages/mastvalve-types/src/endpoint-state.ts
@@ -1,13 +1,13 @@
 /**
- * Membership states of an endpoint.
+ * Lifecycle states of an endpoint.
  */
 
-/** Goes forward only; a new incarnation begins anew at `Live`. */
+/** Changes only from a state to a later one; a new incarnation starts at `Live`. */
 export enum EndpointState {
-	/** Takes new work. */
+	/** Accepts new requests. */
 	Live = 'live',
-	/** Finishes what it has and takes nothing new. */
+	/** Drains: completes requests in flight and accepts no new ones. */
 	Leaving = 'leaving',
-	/** No longer there. */
+	/** No longer part of the cluster. */
 	Gone = 'gone',
 }
--- a/packages/mastvalve-types/src/endpoint.ts
+++ b/packages/mastvalve-types/src/endpoint.ts
@@ -1,22 +1,22 @@
 /**
- * An endpoint as the configuration knows it.
+ * Endpoints in the configuration.
  */
 
 import type {EndpointState} from './endpoint-state.js';
 
-/** One endpoint behind one sidecar. */
+/** An endpoint; each has one sidecar in front of it. */
 export type Endpoint = {
 	/** Unique name. */
 	id: string;
 	service: string;
 	failureDomain: string;
-	/** Base URL of its sidecar. */
+	/** Base URL of the sidecar. */
 	address: string;
-	/** Accelerator memory; 0 for a plain service. */
+	/** Accelerator memory; 0 for endpoints of plain services. */
 	capacity: number;
-	/** Revision of the join that began this life of it; every later life has a higher one. */
+	/** Revision of the join that started this incarnation; later incarnations have higher numbers. */
 	incarnation: number;
-	/** The sidecar process that joined; a resent join of the same process keeps its incarnation. */
+	/** ID of the sidecar process that joined; a repeated join by the same process keeps the incarnation. */
 	processId: string;
 	state: EndpointState;
 };
--- a/packages/mastvalve-types/src/fencing-token.ts
+++ b/packages/mastvalve-types/src/fencing-token.ts
@@ -1,11 +1,11 @@
 /**
- * The number pair that orders carry, so that late ones are known.
+ * Fencing tokens, which let engines reject stale orders.
  */
 
-/** Compared by term first; an endpoint that checks refuses any that is lower than the highest it has seen. */
+/** Ordered by term, then by sequence; an endpoint that checks tokens rejects any below the highest it has seen. */
 export type FencingToken = {
-	/** Incarnation of the endpoint's sidecar, given by the replicated log. */
+	/** Incarnation of the endpoint's sidecar, assigned by the replicated log. */
 	term: number;
-	/** Counts the orders of one sidecar process from 1. */
+	/** Order number within one sidecar process, starting at 1. */
 	sequence: number;
 };
--- a/packages/mastvalve-types/src/finding.ts
+++ b/packages/mastvalve-types/src/finding.ts
@@ -1,13 +1,13 @@
 /**
- * Something wrong in a file that a person wrote, with its place.
+ * Validation findings for hand-written files, with their source positions.
  */
 
-/** One finding; all findings of a file are reported together. */
+/** One invalid entry; all findings of a file are reported together. */
 export type Finding = {
 	file: string;
-	/** Counted from 1. */
+	/** 1-based. */
 	line: number;
-	/** Counted from 1. */
+	/** 1-based. */
 	column: number;
 	/** Path of the key, such as `instances[2].listen`. */
 	key: string;
--- a/packages/mastvalve-types/src/index.ts
+++ b/packages/mastvalve-types/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Shared shapes, enums and error classes of mastvalve.
+ * Types, enums and error classes shared by all mastvalve packages.
  */
 
 export * from './assignment-mode.js';
--- a/packages/mastvalve-types/src/instance-identity.ts
+++ b/packages/mastvalve-types/src/instance-identity.ts
@@ -1,8 +1,8 @@
 /**
- * Who a process is, in logs, metrics and the time line.
+ * Identity of a process in logs, metrics and the timeline.
  */
 
-/** Name and place of one process, from its settings. */
+/** Instance name and failure domain of a process, from its settings. */
 export type InstanceIdentity = {
 	instance: string;
 	failureDomain: string;
--- a/packages/mastvalve-types/src/log-level.ts
+++ b/packages/mastvalve-types/src/log-level.ts
@@ -1,8 +1,8 @@
 /**
- * Levels of logs.
+ * Log levels.
  */
 
-/** Levels that settings and the command line may name; pino's names. */
+/** Levels accepted in settings and on the command line, named as in pino. */
 export enum LogLevel {
 	Debug = 'debug',
 	Info = 'info',
--- a/packages/mastvalve-types/src/mastvalve-error.ts
+++ b/packages/mastvalve-types/src/mastvalve-error.ts
@@ -1,20 +1,21 @@
 /**
- * The base class of all errors that mastvalve reports.
+ * Base class of the errors that mastvalve reports.
  */
 
 import {Outcome} from './outcome.js';
 
-/** Options of an error besides its code and message. */
+/** Optional properties of an error. */
 export type MastvalveErrorOptions = {
-	/** HTTP status that says it best. */
+	/** HTTP status of the response; 500 by default. */
 	status?: number;
+	/** `Outcome.NotRun` by default. */
 	outcome?: Outcome;
-	/** When asking again may help, in seconds. */
+	/** Delay before a retry, in seconds. */
 	retryAfterSeconds?: number;
 	cause?: unknown;
 };
 
-/** An error with a stable code, an HTTP status and a truthful outcome. */
+/** An error with a stable code, an HTTP status and the outcome of the request. */
 export class MastvalveError extends Error {
 	readonly code: string;
 	readonly status: number;
--- a/packages/mastvalve-types/src/model.ts
+++ b/packages/mastvalve-types/src/model.ts
@@ -1,24 +1,24 @@
 /**
- * A declared model with its adapters.
+ * Models and adapters declared in intents.
  */
 
-/** A model as operators declare it in an intent. */
+/** A model as declared by an operator. */
 export type Model = {
-	/** Unique name by which callers ask for it. */
+	/** Unique name that callers request. */
 	name: string;
-	/** The model service whose endpoints may hold it. */
+	/** Name of the model service whose endpoints may load it. */
 	service: string;
-	/** Accelerator memory it takes, in the unit of the endpoints' capacity. */
+	/** Accelerator memory used by the model, in the unit of `Endpoint.capacity`. */
 	size: number;
-	/** Adapters by name; callers ask for them as for models. */
+	/** Adapters of the model; callers request them by name, like models. */
 	adapters: Adapter[];
-	/** How many endpoints keep it resident at the least; 0 means loaded on demand. */
+	/** Minimum number of endpoints that keep the model resident; 0 loads it on demand only. */
 	minReplicas: number;
 };
 
-/** An adapter of a model; it is loaded and unloaded with its model. */
+/** An adapter, loaded and unloaded together with its model. */
 export type Adapter = {
 	name: string;
-	/** Accelerator memory it takes besides the model, same unit. */
+	/** Accelerator memory used in addition to the model, in the same unit. */
 	size: number;
 };
--- a/packages/mastvalve-types/src/order.ts
+++ b/packages/mastvalve-types/src/order.ts
@@ -1,22 +1,22 @@
 /**
- * Orders to model engines.
+ * Orders from sidecars to model engines.
  */
 
 import type {FencingToken} from './fencing-token.js';
 
-/** What an order asks for. */
+/** Operation that an order requests. */
 export enum OrderKind {
 	Load = 'load',
 	Unload = 'unload',
 }
 
-/** One order of a sidecar to its engine. */
+/** A load or unload order. */
 export type Order = {
 	kind: OrderKind;
 	model: string;
-	/** Memory of the model with its adapters. */
+	/** Accelerator memory of the model including its adapters. */
 	size: number;
-	/** Adapters that go with it. */
+	/** Names of the adapters loaded or unloaded with the model. */
 	adapters: string[];
 	token: FencingToken;
 };
--- a/packages/mastvalve-types/src/outcome.ts
+++ b/packages/mastvalve-types/src/outcome.ts
@@ -1,13 +1,13 @@
 /**
- * What mastvalve can truthfully say about a request that it was given.
+ * Outcomes reported for a request.
  */
 
-/** The three outcomes; `Unknown` is said whenever something was handed to the endpoint and no final answer came back. */
+/** Execution outcome of a request; `Unknown` is reported whenever it was sent to an endpoint and no final response was received. */
 export enum Outcome {
-	/** The endpoint gave its whole answer. */
+	/** The endpoint returned a complete response. */
 	Done = 'done',
-	/** Nothing was handed to any endpoint: the caller may safely ask again. */
+	/** No endpoint ran the request: it was not sent, or it was rejected before execution. The caller can retry safely. */
 	NotRun = 'not-run',
-	/** It was handed to an endpoint, and whether it ran can't be told. */
+	/** The request was sent to an endpoint and may have run. */
 	Unknown = 'unknown',
 }
--- a/packages/mastvalve-types/src/placement.ts
+++ b/packages/mastvalve-types/src/placement.ts
@@ -1,15 +1,15 @@
 /**
- * What one endpoint shall hold.
+ * Placements of models on endpoints.
  */
 
 import type {Assignment} from './assignment.js';
 
-/** The assignments of one endpoint; their memory never exceeds its capacity. */
+/** The target assignments of one endpoint; their peak memory never exceeds its capacity. */
 export type Placement = {
 	endpointId: string;
-	/** Incarnation of the endpoint for which it was made; a sidecar of another one ignores it. */
+	/** Incarnation of the endpoint that the placement was computed for; sidecars of other incarnations ignore it. */
 	incarnation: number;
 	assignments: Assignment[];
-	/** Models, of those that are to be resident, that the engine has proved to hold. */
+	/** Models assigned as resident that the engine has confirmed as loaded. */
 	loaded: string[];
 };
--- a/packages/mastvalve-types/src/priority.ts
+++ b/packages/mastvalve-types/src/priority.ts
@@ -1,16 +1,16 @@
 /**
- * Urgency of a request, as the caller states it in the `Mastvalve-Priority` header.
+ * Request priorities, set by the caller in the `Mastvalve-Priority` header.
  */
 
-/** Classes of urgency, most urgent first. */
+/** Priority classes, highest first. */
 export enum Priority {
-	/** Somebody stands at a counter. */
+	/** A person is waiting for the response, for example at a service counter. */
 	Interactive = 'interactive',
-	/** The default. */
+	/** Used when the caller sets no priority. */
 	Standard = 'standard',
-	/** May wait, and yields to a waiting caller. */
+	/** Tolerates delay and yields to pending requests of the higher classes. */
 	Batch = 'batch',
 }
 
-/** The classes in the order in which they are served. */
+/** The classes in dispatch order, highest first. */
 export const prioritiesByUrgency: readonly Priority[] = [Priority.Interactive, Priority.Standard, Priority.Batch];
--- a/packages/mastvalve-types/src/problem.ts
+++ b/packages/mastvalve-types/src/problem.ts
@@ -1,19 +1,19 @@
 /**
- * Problem details (RFC 9457), the one shape of errors over HTTP.
+ * Problem details (RFC 9457), the format of all HTTP errors.
  */
 
 import type {Outcome} from './outcome.js';
 
-/** The body of every error answer. */
+/** Body of an error response. */
 export type Problem = {
 	/** `urn:mastvalve:problem:<code>`. */
 	type: string;
 	title: string;
 	status: number;
-	/** What happened and what to do next. */
+	/** Cause of the error and the next step for the caller. */
 	detail: string;
 	outcome: Outcome;
 	requestId?: string;
-	/** When asking again may help, in seconds. */
+	/** Delay before a retry, in seconds. */
 	retryAfterSeconds?: number;
 };
--- a/packages/mastvalve-types/src/request-errors.ts
+++ b/packages/mastvalve-types/src/request-errors.ts
@@ -1,11 +1,11 @@
 /**
- * Errors that a caller's request can meet.
+ * Errors returned to callers of the data path.
  */
 
 import {MastvalveError, type MastvalveErrorOptions} from './mastvalve-error.js';
 import {Outcome} from './outcome.js';
 
-/** The request itself is wrong; asking again the same way can't help. */
+/** Thrown when the request is invalid; retrying it unchanged fails again. */
 export class BadRequestError extends MastvalveError {
 	constructor(message: string, code = 'bad-request', status = 400) {
 		super(code, message, {status, outcome: Outcome.NotRun});
@@ -13,15 +13,15 @@
 	}
 }
 
-/** No such model, adapter or service. */
+/** Thrown when a request names a model, adapter, service, endpoint or path that does not exist. */
 export class UnknownNameError extends MastvalveError {
-	constructor(what: string, name: string, advice: string) {
-		super('unknown-name', `There is no ${what} named "${name}". ${advice}`, {status: 404});
+	constructor(kind: string, name: string, hint: string) {
+		super('unknown-name', `There is no ${kind} named "${name}". ${hint}`, {status: 404});
 		this.name = 'UnknownNameError';
 	}
 }
 
-/** It can't be served within its deadline; nothing was run. */
+/** Thrown when a request is rejected before execution, for example because it cannot be served within its deadline; it was not run. */
 export class RefusedError extends MastvalveError {
 	constructor(message: string, retryAfterSeconds: number, code = 'overloaded') {
 		super(code, message, {status: 503, outcome: Outcome.NotRun, retryAfterSeconds});
@@ -29,7 +29,7 @@
 	}
 }
 
-/** The deadline has passed. */
+/** Thrown when the deadline of a request expires; `outcome` states whether it may have run. */
 export class DeadlineError extends MastvalveError {
 	constructor(message: string, outcome: Outcome) {
 		super('deadline-passed', message, {status: 504, outcome});
@@ -37,7 +37,7 @@
 	}
 }
 
-/** Something was handed to an endpoint, and its answer did not come back whole. */
+/** Thrown when a request was sent to an endpoint and no complete response was received. */
 export class UnknownOutcomeError extends MastvalveError {
 	constructor(message: string, options: MastvalveErrorOptions = {}) {
 		super('outcome-unknown', message, {status: 502, ...options, outcome: Outcome.Unknown});
--- a/packages/mastvalve-types/src/service-kind.ts
+++ b/packages/mastvalve-types/src/service-kind.ts
@@ -1,10 +1,10 @@
 /**
- * The two kinds of services that stand behind mastvalve.
+ * Kinds of services that mastvalve routes to.
  */
 
-/** What an endpoint of a service speaks. */
+/** Protocol of a service's endpoints. */
 export enum ServiceKind {
-	/** A model engine with the OpenAI-compatible HTTP interface. */
+	/** A model engine with an OpenAI-compatible HTTP API. */
 	Model = 'model',
 	/** Any HTTP service. */
 	Plain = 'plain',
--- a/packages/mastvalve-types/src/service.ts
+++ b/packages/mastvalve-types/src/service.ts
@@ -1,14 +1,14 @@
 /**
- * A declared service.
+ * Services declared in intents.
  */
 
 import type {ServiceKind} from './service-kind.js';
 
-/** A service as operators declare it in an intent. */
+/** A service as declared by an operator. */
 export type Service = {
-	/** Unique name, also the path segment under `/services/`. */
+	/** Unique name; also the path segment under `/services/`. */
 	name: string;
 	kind: ServiceKind;
-	/** `METHOD /path` of calls that must run at most once; a path that ends in `*` covers what begins with it. */
+	/** `METHOD /path` patterns of calls that must run at most once; a trailing `*` matches any suffix. */
 	notRepeated: string[];
 };
--- a/packages/mastvalve-types/src/timeline-event.ts
+++ b/packages/mastvalve-types/src/timeline-event.ts
@@ -1,24 +1,24 @@
 /**
- * An event on the time line.
+ * Events recorded on the timeline.
  */
 
-/** A reading of the hybrid logical clock. */
+/** A timestamp of the hybrid logical clock. */
 export type ClockReading = {
-	/** Wall clock in ms since the epoch; never goes back. */
+	/** Wall-clock time in ms since the epoch; never decreases. */
 	wall: number;
-	/** Orders readings of one ms. */
+	/** Orders timestamps within the same millisecond. */
 	counter: number;
 };
 
-/** One thing that happened in one process. */
+/** An event recorded by one process. */
 export type TimelineEvent = {
 	clock: ClockReading;
 	instance: string;
 	failureDomain: string;
-	/** What happened, `noun.verb`, such as `request.dispatched`. */
+	/** Event name in the form `noun.verb`, such as `request.dispatched`. */
 	kind: string;
-	/** The request that it belongs to, if any. */
+	/** ID of the related request, if any. */
 	requestId?: string;
-	/** Plain words for people. */
+	/** Human-readable description. */
 	detail: string;
 };
