--- a/packages/mastvalve-fleet-control/src/freshness-tracker.ts
+++ b/packages/mastvalve-fleet-control/src/freshness-tracker.ts
@@ -6,7 +6,7 @@
 
 import {ConfirmedTime} from 'mastvalve-access';
 import type {ControlGroup} from 'mastvalve-cluster';
-import {repeatUntilAborted, SuspensionWatch, type Clock} from 'mastvalve-utils';
+import {repeatUntilAborted, SuspensionDetector, type Clock} from 'mastvalve-utils';
 
 export type FreshnessTrackerOptions = {
 	group: Pick<ControlGroup, 'isLeading' | 'waitUntilFresh'>;
@@ -20,10 +20,10 @@
 /** Times are monotonic, ms. */
 export class FreshnessTracker {
 	private readonly confirmed = new ConfirmedTime();
-	private readonly suspension: SuspensionWatch;
+	private readonly suspension: SuspensionDetector;
 
 	constructor(private readonly options: FreshnessTrackerOptions) {
-		this.suspension = new SuspensionWatch(options.clock);
+		this.suspension = new SuspensionDetector(options.clock);
 	}
 
 	/** Returns the confirmed time; undefined while there is none. */
@@ -56,7 +56,7 @@
 	}
 
 	private invalidateAfterSuspension(): void {
-		if (this.suspension.hasJumped()) {
+		if (this.suspension.hasBeenSuspended()) {
 			this.confirmed.invalidate(this.options.clock.now());
 		}
 	}
--- a/packages/mastvalve-gateway/src/access/access-checker.ts
+++ b/packages/mastvalve-gateway/src/access/access-checker.ts
@@ -6,7 +6,7 @@
 	AccessKind, KeyFreshness, authorizeRequest, type AccessDecision, type PresentedKey,
 } from 'mastvalve-access';
 import type {Route} from 'mastvalve-fleet';
-import {SuspensionWatch, type Clock} from 'mastvalve-utils';
+import {SuspensionDetector, type Clock} from 'mastvalve-utils';
 import type {FleetView} from '../fleet/fleet-view.js';
 
 export type AccessCheckerOptions = {
@@ -23,11 +23,11 @@
 
 export class AccessChecker {
 	private readonly freshness: KeyFreshness;
-	private readonly suspension: SuspensionWatch;
+	private readonly suspension: SuspensionDetector;
 
 	constructor(private readonly options: AccessCheckerOptions) {
 		this.freshness = new KeyFreshness(options.keyRevocationMs);
-		this.suspension = new SuspensionWatch(options.clock);
+		this.suspension = new SuspensionDetector(options.clock);
 	}
 
 	/** Decides on a request by the current keys. */
@@ -65,7 +65,7 @@
 	}
 
 	private invalidateIfSuspended(): void {
-		if (this.suspension.hasJumped()) {
+		if (this.suspension.hasBeenSuspended()) {
 			this.freshness.invalidate(this.options.clock.now());
 			this.options.onSuspended();
 		}
--- a/packages/mastvalve-logger/src/decision-logger.ts
+++ b/packages/mastvalve-logger/src/decision-logger.ts
@@ -1,28 +1,28 @@
 /**
- * Logs of decisions: JSON lines on standard output, bounded in volume, written without ever waiting for the reader.
+ * Decision log: rate-limited JSON lines on standard output, written without blocking on a slow reader.
  */
 
 import type {InstanceIdentity} from 'mastvalve-types';
 import {pino} from 'pino';
 
-/** Lines a second at the most; what is left out is counted in the next line that fits. Twice the requests of a busy entry. */
+/** Rate limit: twice the request rate of a busy entry. The next line within the limit reports the number of dropped lines. */
 const maxLinesPerSecond = 100;
-/** Bytes that may wait for a slow reader; more are dropped. */
-const maxWaitingBytes = 262_144;
+/** Capacity of the write buffer. Output beyond it is dropped when the reader is slow. */
+const maxBufferedBytes = 262_144;
 const secondMs = 1000;
 
-/** Writes one line for a decision. */
+/** Logs one decision. */
 export type DecisionLogger = (kind: string, fields: Record<string, unknown>) => void;
 
-/** Makes the logger of a process. */
+/** Creates the decision logger of a process. `now` returns monotonic milliseconds. */
 export const createDecisionLogger = (identity: InstanceIdentity, now: () => number = () => performance.now()): DecisionLogger => {
 	const logger = pino(
 		{base: {...identity}, timestamp: pino.stdTimeFunctions.isoTime},
-		pino.destination({dest: 1, sync: false, maxLength: maxWaitingBytes}),
+		pino.destination({dest: 1, sync: false, maxLength: maxBufferedBytes}),
 	);
 	let windowStart = now();
 	let lines = 0;
-	let leftOut = 0;
+	let droppedLines = 0;
 	return (kind, fields) => {
 		if (now() - windowStart >= secondMs) {
 			windowStart = now();
@@ -30,12 +30,12 @@
 		}
 
 		if (lines >= maxLinesPerSecond) {
-			leftOut += 1;
+			droppedLines += 1;
 			return;
 		}
 
 		lines += 1;
-		logger.info({kind, ...fields, ...(leftOut > 0 ? {leftOut} : {})});
-		leftOut = 0;
+		logger.info({kind, ...fields, ...(droppedLines > 0 ? {leftOut: droppedLines} : {})});
+		droppedLines = 0;
 	};
 };
--- a/packages/mastvalve-logger/src/index.ts
+++ b/packages/mastvalve-logger/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Logs and the time line of events.
+ * Logs and the event timeline.
  */
 
 export * from './logger.js';
--- a/packages/mastvalve-logger/src/logger.ts
+++ b/packages/mastvalve-logger/src/logger.ts
@@ -1,5 +1,5 @@
 /**
- * Logs as JSON lines, each with the instance and its failure domain.
+ * Process log: JSON lines that name the instance and its failure domain.
  */
 
 import {LogLevel, type InstanceIdentity} from 'mastvalve-types';
@@ -7,7 +7,7 @@
 
 export type {Logger} from 'pino';
 
-/** A logger that writes JSON lines to standard error, so that standard output stays for data. */
+/** Creates a logger that writes to standard error, because standard output is reserved for data. */
 export const createLogger = (identity: InstanceIdentity, level: LogLevel = LogLevel.Info): Logger =>
 	pino(
 		{
--- a/packages/mastvalve-replication/src/log-node.ts
+++ b/packages/mastvalve-replication/src/log-node.ts
@@ -5,7 +5,7 @@
  */
 
 import {MastvalveError, NotLeaderError, Outcome} from 'mastvalve-types';
-import {SuspensionWatch, type Clock} from 'mastvalve-utils';
+import {SuspensionDetector, type Clock} from 'mastvalve-utils';
 import {err, ok, type Result} from 'neverthrow';
 import type {DurableWrite, Effects} from './effects.js';
 import {EntryKind, type LogEntry} from './log-entry.js';
@@ -60,12 +60,12 @@
 	private isStopped = false;
 	private snapshotIndex: number;
 	private lastReportedRole = '';
-	private readonly suspension: SuspensionWatch;
+	private readonly suspension: SuspensionDetector;
 
 	constructor(private readonly options: LogNodeOptions) {
 		this.appliedIndex = options.replica.commitIndex;
 		this.snapshotIndex = this.appliedIndex;
-		this.suspension = new SuspensionWatch(options.clock);
+		this.suspension = new SuspensionDetector(options.clock);
 	}
 
 	get replica(): Replica {
@@ -141,7 +141,7 @@
 	private readClock(): number {
 		const {clock, replica, onSuspended} = this.options;
 		const now = clock.now();
-		if (this.suspension.hasJumped()) {
+		if (this.suspension.hasBeenSuspended()) {
 			replica.invalidateContacts(now);
 			onSuspended?.();
 		}
--- a/packages/mastvalve-utils/src/assume-type.ts
+++ b/packages/mastvalve-utils/src/assume-type.ts
@@ -1,10 +1,10 @@
 /**
- * The one place where data from outside the type system is given a type without a check.
+ * The only unchecked type assertion, for values that enter from outside the type system.
  */
 
 /**
- * Takes a value for a `T`. For JSON of our own processes and of protocols whose shape is documented, and for
- * properties of thrown values; what people write is checked by schemas instead.
+ * Asserts that a value is a `T` without checking it. Meant for JSON from this project's own processes, for protocols
+ * with a documented shape and for properties of thrown values. User input is validated against schemas instead.
  */
 // eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
 export const assumeType = <T>(value: unknown): T => value as T;
--- a/packages/mastvalve-utils/src/bounded-map.ts
+++ b/packages/mastvalve-utils/src/bounded-map.ts
@@ -1,8 +1,8 @@
 /**
- * A map that holds the entries set last, up to a number: the one set longest ago gives way.
+ * A map of bounded size that evicts the least recently written entry.
  */
 
-/** The map. */
+/** Holds at most `maxSize` entries. Reads do not affect the eviction order. */
 export class BoundedMap<K, V> {
 	private readonly entries = new Map<K, V>();
 
@@ -16,7 +16,7 @@
 		return this.entries.get(key);
 	}
 
-	/** Sets an entry, which becomes the newest. The result is the key that gave way. */
+	/** Sets an entry and marks it as the most recently written. Returns the evicted key, if any. */
 	set(key: K, value: V): K | undefined {
 		this.entries.delete(key);
 		this.entries.set(key, value);
@@ -33,7 +33,7 @@
 		return this.entries.delete(key);
 	}
 
-	/** The entries, the one set longest ago first. */
+	/** Returns the entries, least recently written first. */
 	list(): Array<[K, V]> {
 		return [...this.entries];
 	}
--- a/packages/mastvalve-utils/src/canonical.ts
+++ b/packages/mastvalve-utils/src/canonical.ts
@@ -1,5 +1,5 @@
 /**
- * Canonical text and hashes of plain data, so that equal data has equal hashes in every process.
+ * Canonical serialization and hashing of plain data, so that equal data has equal hashes in every process.
  */
 
 import {createHash} from 'node:crypto';
@@ -7,14 +7,14 @@
 
 const stringify = configure({deterministic: true});
 
-/** JSON with sorted keys. */
+/** Serializes a value as JSON with sorted keys. */
 export const formatCanonically = (value: unknown): string => stringify(value) ?? 'null';
 
-/** SHA-256 of bytes or text, in hex. */
+/** Returns the SHA-256 digest of bytes or text, in hex. */
 export const hashBytes = (bytes: string | Uint8Array): string => createHash('sha256').update(bytes).digest('hex');
 
-/** SHA-256 of the canonical JSON, in hex. */
+/** Returns the SHA-256 digest of the canonical JSON, in hex. */
 export const hashCanonically = (value: unknown): string => hashBytes(formatCanonically(value));
 
-/** A 32-bit hash of text, spread evenly; for rings and sharding, not for security. */
+/** Returns a uniformly distributed 32-bit hash of text, for hash rings and sharding. Not suitable for security. */
 export const hashToUint32 = (text: string): number => createHash('sha1').update(text).digest().readUInt32BE(0);
--- a/packages/mastvalve-utils/src/clock.ts
+++ b/packages/mastvalve-utils/src/clock.ts
@@ -1,18 +1,18 @@
 /**
- * Clocks as values, so that everything that waits or measures can be driven by tests.
+ * Injectable clocks, so that tests can control time.
  */
 
 import {performance} from 'node:perf_hooks';
 
-/** Two readings of time, both in milliseconds. */
+/** A monotonic clock and a wall clock, both in milliseconds. */
 export type Clock = {
-	/** Never steps; only differences mean something. */
+	/** Monotonic time. Only differences between readings are meaningful. */
 	now: () => number;
-	/** Since the epoch; may step either way. */
+	/** Time since the Unix epoch. May step forwards or backwards. */
 	wall: () => number;
 };
 
-/** The clocks of this machine. */
+/** The clocks of the operating system. */
 export const systemClock: Clock = {
 	now: () => performance.now(),
 	wall: () => Date.now(),
--- a/packages/mastvalve-utils/src/collect-text.ts
+++ b/packages/mastvalve-utils/src/collect-text.ts
@@ -1,11 +1,11 @@
 /**
- * Reading a body whole.
+ * Buffers a streamed body in memory.
  */
 
 import {Buffer} from 'node:buffer';
 import {assumeType} from './assume-type.js';
 
-/** The bytes of all chunks; throws when there are more than `maxBytes`. */
+/** Concatenates all chunks. Throws when the body exceeds `maxBytes`. */
 export const collectBytes = async (chunks: AsyncIterable<unknown>, maxBytes = Number.POSITIVE_INFINITY): Promise<Uint8Array> => {
 	const parts: Uint8Array[] = [];
 	let size = 0;
@@ -21,7 +21,7 @@
 	return Buffer.concat(parts);
 };
 
-/** The text of all chunks; throws when there are more bytes than `maxBytes`. */
+/** Concatenates all chunks and decodes them as UTF-8. Throws when the body exceeds `maxBytes`. */
 export const collectText = async (chunks: AsyncIterable<unknown>, maxBytes = Number.POSITIVE_INFINITY): Promise<string> => {
 	const bytes = await collectBytes(chunks, maxBytes);
 	return Buffer.from(bytes).toString();
--- a/packages/mastvalve-utils/src/drop-idle-connections.ts
+++ b/packages/mastvalve-utils/src/drop-idle-connections.ts
@@ -1,11 +1,11 @@
 /**
- * Closes kept connections that rest. Open connections may go silent while new ones work, without a reset: when one of
- * them does not answer, the others to the same address are not used again.
+ * Closes idle keep-alive connections. Established connections can stop delivering data without a reset while new ones
+ * work, so when one of them does not answer, the other pooled connections to the same address must not be reused.
  */
 
 import type {Agent} from 'node:http';
 
-/** Closes those to `ip:port`. */
+/** Closes the agent's idle connections to `address`, given as `ip:port`. */
 export const dropIdleConnections = (agent: Agent, address: string): void => {
 	const [host = '', port] = address.split(':');
 	const name = agent.getName({host, port: Number(port)});
--- a/packages/mastvalve-utils/src/errors.ts
+++ b/packages/mastvalve-utils/src/errors.ts
@@ -1,10 +1,10 @@
 /**
- * Turning whatever was thrown into an error of ours.
+ * Normalizes thrown values.
  */
 
 import {MastvalveError} from 'mastvalve-types';
 
-/** The message of anything that was thrown. */
+/** Returns the message of a thrown value, followed by those of its causes unless they repeat it. */
 export const describeError = (thrown: unknown): string => {
 	if (!(thrown instanceof Error)) {
 		return String(thrown);
@@ -14,6 +14,6 @@
 	return `${thrown.message || thrown.name}${cause}`;
 };
 
-/** Wraps what isn't an error of ours as an internal one. */
+/** Returns a `MastvalveError` unchanged and wraps any other value as one with the code `internal`. */
 export const toMastvalveError = (thrown: unknown): MastvalveError =>
 	thrown instanceof MastvalveError ? thrown : new MastvalveError('internal', describeError(thrown), {cause: thrown});
--- a/packages/mastvalve-utils/src/hybrid-clock.ts
+++ b/packages/mastvalve-utils/src/hybrid-clock.ts
@@ -1,42 +1,42 @@
 /**
- * A hybrid logical clock: close to wall time, yet never before anything that is known to have happened earlier.
+ * A hybrid logical clock: its readings stay close to wall time and respect the causal order of events.
  * Source: Kulkarni et al., "Logical Physical Clocks", 2014.
  */
 
 import type {ClockReading} from 'mastvalve-types';
 
-/** Readings from other processes further ahead than this (ms) are not believed, so that one bad clock can't drag all others along. */
+/** Maximum lead of a remote reading over the local wall clock, ms. Readings beyond it are ignored, so that one faulty clock cannot advance all others. */
 export const maxClockAheadMs = 60_000;
 
-/** Orders two readings: negative when `a` is earlier. */
+/** Compares two readings. Negative when `a` is earlier. */
 export const compareReadings = (a: ClockReading, b: ClockReading): number => a.wall - b.wall || a.counter - b.counter;
 
-/** Writes a reading for a header. */
+/** Formats a reading as a header value, `<wall>.<counter>`. */
 export const formatReading = (reading: ClockReading): string => `${reading.wall}.${reading.counter}`;
 
-/** Reads a header; undefined when it isn't one. */
+/** Parses a header value. Returns undefined when it is missing or malformed. */
 export const parseReading = (text: string | undefined): ClockReading | undefined => {
 	const match = /^(?<wall>\d{1,15})\.(?<counter>\d{1,9})$/v.exec(text ?? '');
 	return match?.groups ? {wall: Number(match.groups.wall), counter: Number(match.groups.counter)} : undefined;
 };
 
-/** One process's clock. */
+/** The hybrid logical clock of one process. */
 export class HybridClock {
 	private last: ClockReading = {wall: 0, counter: 0};
 
 	constructor(private readonly wall: () => number) {}
 
-	/** A reading for an event of this process or a message that leaves it. */
+	/** Advances the clock for a local event or an outgoing message and returns the new reading. */
 	tick(): ClockReading {
 		const wall = Math.floor(this.wall());
 		this.last = wall > this.last.wall ? {wall, counter: 0} : {wall: this.last.wall, counter: this.last.counter + 1};
 		return this.last;
 	}
 
-	/** Takes in a reading that came with a message. */
+	/** Merges the reading of a received message. */
 	observe(reading: ClockReading | undefined): void {
-		const believed = reading && reading.wall <= this.wall() + maxClockAheadMs;
-		if (believed && compareReadings(reading, this.last) > 0) {
+		const isAccepted = reading && reading.wall <= this.wall() + maxClockAheadMs;
+		if (isAccepted && compareReadings(reading, this.last) > 0) {
 			this.last = reading;
 		}
 	}
--- a/packages/mastvalve-utils/src/index.ts
+++ b/packages/mastvalve-utils/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Small helpers shared by all packages: clocks, random numbers, canonical hashes, waiting.
+ * Helpers shared by all packages: clocks, random numbers, canonical hashes, delays.
  */
 
 export * from './assume-type.js';
@@ -13,5 +13,5 @@
 export * from './format-table.js';
 export * from './hybrid-clock.js';
 export * from './random.js';
-export * from './suspension-watch.js';
+export * from './suspension-detector.js';
 export * from './wait.js';
--- a/packages/mastvalve-utils/src/wait.ts
+++ b/packages/mastvalve-utils/src/wait.ts
@@ -1,15 +1,15 @@
 /**
- * Waiting on time and on conditions.
+ * Abortable delays and periodic calls.
  */
 
 import {setTimeout as setTimer} from 'node:timers/promises';
 
-/** Waits `ms` milliseconds, or until the signal aborts; never throws. */
+/** Resolves after `ms` milliseconds or when the signal aborts. Never rejects. */
 export const waitFor = async (ms: number, signal?: AbortSignal): Promise<void> => {
 	await setTimer(ms, undefined, {signal, ref: true}).catch(() => undefined);
 };
 
-/** Calls `body` every `ms` milliseconds until the signal aborts; for short work that doesn't wait, many times a second. */
+/** Calls `body` every `ms` milliseconds until the signal aborts. Meant for short synchronous work at a high frequency. */
 export const callUntilAborted = (signal: AbortSignal, ms: number, body: () => void): void => {
 	const timer = setInterval(body, ms);
 	signal.addEventListener('abort', () => {
@@ -17,7 +17,7 @@
 	}, {once: true});
 };
 
-/** Repeats `body` with pauses of `pauseMs` until the signal aborts. Errors go to `onError`. */
+/** Runs `body` sequentially, with a delay of `pauseMs` after each run, until the signal aborts. Passes errors to `onError`. */
 export const repeatUntilAborted = async (
 	signal: AbortSignal,
 	pauseMs: number,
@@ -25,7 +25,7 @@
 	onError: (thrown: unknown) => void,
 ): Promise<void> => {
 	while (!signal.aborted) {
-		// One round after the other is the point of this loop.
+		// The runs must be sequential.
 		// eslint-disable-next-line no-await-in-loop
 		await body().catch(onError);
 		// eslint-disable-next-line no-await-in-loop
