--- a/packages/mastvalve-gateway/src/server/gateway-node.ts
+++ b/packages/mastvalve-gateway/src/server/gateway-node.ts
@@ -125,7 +125,7 @@
 			firstByteTimes,
 			demand: this.demand,
 			quarantine,
-			crashDetector: this.createCrashWatch(quarantine, tracker, now, log),
+			crashDetector: this.createCrashDetector(quarantine, tracker, now, log),
 			log,
 		});
 	}
@@ -170,8 +170,8 @@
 		return [...new Set([...(leader === undefined ? [] : [leader]), ...this.follower.listMembers()])];
 	}
 
-	private createCrashWatch(quarantine: RequestQuarantine, tracker: EndpointTracker, now: () => number, log: LogDecision): CrashDetector {
-		const watch = new CrashDetector({
+	private createCrashDetector(quarantine: RequestQuarantine, tracker: EndpointTracker, now: () => number, log: LogDecision): CrashDetector {
+		const detector = new CrashDetector({
 			now,
 			probe: probeListener,
 			isAlive: id => !this.view.hasAllEndpoints || this.view.hasEndpoint(id),
@@ -185,8 +185,8 @@
 			},
 		});
 		this.view.subscribe(() => {
-			watch.reviewUndecided();
+			detector.reviewUndecided();
 		});
-		return watch;
+		return detector;
 	}
 }
