--- a/packages/mastvalve-cluster/src/membership/control-group.ts
+++ b/packages/mastvalve-cluster/src/membership/control-group.ts
@@ -111,17 +111,17 @@
 	 */
 	get isCurrent(): boolean {
 		const now = this.options.clock.now();
-		const heardAt = this.node?.leaderContactAt();
-		return heardAt !== undefined && now - heardAt < staleAfterMs;
+		const contactAt = this.node?.leaderContactAt();
+		return contactAt !== undefined && now - contactAt < staleAfterMs;
 	}
 
 	/** Describes how current the state is, for the message to a caller that is refused because it is stale. */
 	describeFreshness(): string {
 		const {clock} = this.options;
 		const now = clock.now();
-		const heardAt = this.node?.leaderContactAt();
-		const heard = heardAt === undefined ? 'no leader heard' : `leader heard ${Math.round(now - heardAt)} ms ago`;
-		return `${heard}, applied ${this.node?.appliedIndex ?? 0} of ${this.node?.replica.commitIndex ?? 0} committed entries`;
+		const contactAt = this.node?.leaderContactAt();
+		const contact = contactAt === undefined ? 'no leader heard' : `leader heard ${Math.round(now - contactAt)} ms ago`;
+		return `${contact}, applied ${this.node?.appliedIndex ?? 0} of ${this.node?.replica.commitIndex ?? 0} committed entries`;
 	}
 
 	/** Returns the handlers for calls from other members and from followers, by path. */
