--- a/xo.config.js
+++ b/xo.config.js
@@ -2,7 +2,14 @@
  * XO's settings. A rule is off only where the house style contradicts it or where two rules contradict each other;
  * docs/HOUSE-STYLE.md gives the reason for each.
  */
-const retiredNames = /^(?:[Ll]one[A-Z]\w*|patience(?:Of|End)|claimRoom|recordRoom|waitForRoom|roomAt|goAlone|decideAlone)$/v;
+const retiredNames = new RegExp(`^(?:${[
+	String.raw`[Ll]one[A-Z]\w*|patience(?:Of|End)|claimRoom|recordRoom|waitForRoom|roomAt|roomIn|goAlone|decideAlone`,
+	'EngineDesk|EngineDirector|EngineMover|EngineRound|OrderTurns|FleetDuties|QuarantineClock|SureMoment|ProvenMoment|Evidence|[Jj]udgeAccess',
+	'EndpointBoard|EndpointKnowledge|EndpointUse|HeadTimes|RetryAllowance|RetryBounds|forgetEnded|CrashWatch|SourceChoice|ConfigurationDraft',
+	'LimitWord(?:Kind)?|ToldWord|HandoverClaim|HandoverGrant|LeaderAccount|AccountMoment|LocalLimits|LocalRates|FormerGrant|KeptAnswer',
+	'chooseNow|learnFromHead|giveUp|endOrRetry|refuseQuarantined|hasTries|OwnAnswer|onceOver|silentObserver|persistUntilTaken',
+	'DemandStep|anticipateRates|StoreRate|PeerSearch|MembershipDuty|LeaderAccess|SilenceWatch|SuspensionWatch|quietSince',
+].join('|')})$`, 'v');
 
 const config = [
 	{ignores: ['dist/**', 'reports/**', '**/__snapshots__/**', 'target/**', 'journal/**']},
